--- a/libs/serving/tests/test_target_follower.cpp
+++ b/libs/serving/tests/test_target_follower.cpp
@@ -26,7 +26,7 @@
 
 /// A list of targets that changes, one node that reads it and one that mostly hears of it.
 struct followed_list {
-    std::vector<target_news> log;
+    std::vector<target_update> log;
     std::map<std::string, std::uint64_t> sequences;
     target_follower reader { 2s };
     target_follower hearer { 2s };
@@ -41,11 +41,11 @@
     explicit followed_list(bool isToldAll = false)
         : asksPeers(isToldAll)
     {
-        hearer.setReadsSeldom(true);
+        hearer.setReadsInfrequently(true);
         for (int i = 0; i < 10; ++i)
             write("t" + std::to_string(i), false);
         reader.listRead(log, end(), at(0s));
-        take(asksPeers ? hearer.stateTaken(reader.known(), at(0s)) : hearer.listRead(log, end(), at(0s)));
+        take(asksPeers ? hearer.snapshotReceived(reader.known(), at(0s)) : hearer.listRead(log, end(), at(0s)));
         readerNext = hearerNext = log.size();
     }
 
@@ -65,13 +65,13 @@
     /// Another writer puts something over the target's entry.
     void writeForeign(const std::string& name) { log.push_back({ end(), name, std::nullopt, true }); }
 
-    follow_step read(target_follower& who, std::size_t& next, instant now)
+    follow_result read(target_follower& who, std::size_t& next, instant now)
     {
-        const std::vector<target_news> news(log.begin() + static_cast<std::ptrdiff_t>(next), log.end());
+        const std::vector<target_update> news(log.begin() + static_cast<std::ptrdiff_t>(next), log.end());
         next = log.size();
         return who.recordsRead(news, end(), now);
     }
-    void take(const follow_step& step, instant now = at(0s))
+    void take(const follow_result& step, instant now = at(0s))
     {
         for (const auto& ended : step.changes.replaced)
             CHECK(std::exchange(livesBelieved[ended.name], {}) == ended.instance);
@@ -89,7 +89,7 @@
         if (!step.mustRead)
             return;
         ++reads;
-        take(asksPeers ? hearer.stateTaken(reader.known(), now) : read(hearer, hearerNext, now), now);
+        take(asksPeers ? hearer.snapshotReceived(reader.known(), now) : read(hearer, hearerNext, now), now);
     }
     std::map<std::string, bool> truth() const
     {
@@ -113,7 +113,7 @@
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
         random_source random(seed);
         followed_list world(asksPeers);
-        std::vector<target_note> late;
+        std::vector<target_update_batch> late;
         instant now = at(1s);
         for (int step = 0; step < 60; ++step, now += 500ms) {
             const auto instance = "t" + std::to_string(random.below(14));
@@ -125,18 +125,18 @@
             if (random.below(3) == 0)
                 continue; // the reader's next read finds several changes
             const auto found = world.read(world.reader, world.readerNext, now);
-            if (found.note && random.below(4) == 0)
-                late.push_back(*found.note);
-            else if (found.note && random.below(3) != 0)
-                world.take(world.hearer.noteHeard(*found.note, now), now);
+            if (found.batch && random.below(4) == 0)
+                late.push_back(*found.batch);
+            else if (found.batch && random.below(3) != 0)
+                world.take(world.hearer.batchReceived(*found.batch, now), now);
             if (!late.empty() && random.below(3) == 0) {
-                world.take(world.hearer.noteHeard(late.front(), now), now);
+                world.take(world.hearer.batchReceived(late.front(), now), now);
                 late.erase(late.begin());
             }
             if (random.below(2) == 0)
                 continue;
             ++heartbeats;
-            world.take(world.hearer.changeSeen(world.reader.lastChange(), now), now);
+            world.take(world.hearer.peerOffsetReceived(world.reader.lastChange(), now), now);
             auto expected = world.truth();
             for (auto& [name, isUsable] : expected) {
                 INFO("seed " << seed << ", step " << step << ", " << name);
@@ -160,7 +160,7 @@
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
         random_source random(seed);
         followed_list world(asksPeers);
-        std::vector<target_note> late;
+        std::vector<target_update_batch> late;
         instant now = at(1s);
         for (int step = 0; step < 60; ++step, now += 500ms) {
             const auto name = "t" + std::to_string(random.below(14));
@@ -176,17 +176,17 @@
             if (random.below(3) == 0)
                 continue;
             const auto found = world.read(world.reader, world.readerNext, now);
-            if (found.note && random.below(4) == 0)
-                late.push_back(*found.note);
-            else if (found.note && random.below(3) != 0)
-                world.take(world.hearer.noteHeard(*found.note, now), now);
+            if (found.batch && random.below(4) == 0)
+                late.push_back(*found.batch);
+            else if (found.batch && random.below(3) != 0)
+                world.take(world.hearer.batchReceived(*found.batch, now), now);
             if (!late.empty() && random.below(3) == 0) {
-                world.take(world.hearer.noteHeard(late.front(), now), now);
+                world.take(world.hearer.batchReceived(late.front(), now), now);
                 late.erase(late.begin());
             }
             if (random.below(2) == 0)
                 continue;
-            world.take(world.hearer.changeSeen(world.reader.lastChange(), now), now);
+            world.take(world.hearer.peerOffsetReceived(world.reader.lastChange(), now), now);
             for (const auto& [target, isUsable] : world.truth()) {
                 INFO("seed " << seed << ", step " << step << ", " << target);
                 CHECK(world.believed[target] == isUsable);
@@ -220,9 +220,9 @@
     for (int step = 0; step < 200; ++step, now += 500ms) {
         world.write("t" + std::to_string(random.below(14)), random.below(2) == 0);
         const auto found = world.read(world.reader, world.readerNext, now);
-        if (found.note)
-            world.take(world.hearer.noteHeard(*found.note, now), now);
-        world.take(world.hearer.changeSeen(world.reader.lastChange(), now), now);
+        if (found.batch)
+            world.take(world.hearer.batchReceived(*found.batch, now), now);
+        world.take(world.hearer.peerOffsetReceived(world.reader.lastChange(), now), now);
     }
     CHECK(world.reads == 0);
     CHECK(world.believed == world.truth());
@@ -238,10 +238,10 @@
     world.write("t3", true);
     target_follower starting { 2s };
     starting.listRead(world.log, world.end(), at(1s));
-    world.take(world.hearer.changeSeen(starting.lastChange(), at(1s)), at(1s));
+    world.take(world.hearer.peerOffsetReceived(starting.lastChange(), at(1s)), at(1s));
     CHECK_FALSE(world.believed["t3"]);
     CHECK(world.reads == 1);
-    world.take(world.hearer.changeSeen(starting.lastChange(), at(2s)), at(2s));
+    world.take(world.hearer.peerOffsetReceived(starting.lastChange(), at(2s)), at(2s));
     CHECK(world.reads == 1);
 }
 
@@ -255,15 +255,15 @@
     world.remove("t1");
     world.write("t2", true);
     const auto found = world.read(world.reader, world.readerNext, at(1s));
-    REQUIRE(found.note);
-    world.take(world.hearer.noteHeard(*found.note, at(1s)), at(1s));
-    world.take(world.hearer.changeSeen(world.reader.lastChange(), at(1s)), at(1s));
+    REQUIRE(found.batch);
+    world.take(world.hearer.batchReceived(*found.batch, at(1s)), at(1s));
+    world.take(world.hearer.peerOffsetReceived(world.reader.lastChange(), at(1s)), at(1s));
     CHECK(world.believed["t1"]);
     CHECK_FALSE(world.believed["t2"]);
     const auto over = world.reader.tick(at(4s));
     REQUIRE(over.changes.gone.size() == 1);
     CHECK(over.changes.gone.front().name == "t1");
     // Also if that note is lost.
-    world.take(world.hearer.changeSeen(world.reader.lastChange(), at(4s)), at(4s));
+    world.take(world.hearer.peerOffsetReceived(world.reader.lastChange(), at(4s)), at(4s));
     CHECK_FALSE(world.believed["t1"]);
 }
--- a/libs/serving/tests/test_target_health.cpp
+++ b/libs/serving/tests/test_target_health.cpp
@@ -68,7 +68,7 @@
         constexpr std::size_t report = 1;
         auto& world = *m_nodes[node];
         command_list out;
-        const auto id = world.decisions.arrive(world.make(report), m_now, out);
+        const auto id = world.decisions.submit(world.make(report), m_now, out);
         ++m_result.asked;
         const auto* start = find<start_attempt>(out);
         if (!start)
@@ -87,17 +87,17 @@
         const bool isLost = isFailing && m_random.unit() < 0.3;
         m_result.lost += isLost;
         command_list out;
-        world.decisions.ended(
+        world.decisions.attemptEnded(
             end.request, end.start.attempt, isLost ? attempt_result::broken : attempt_result::answered, {}, m_now, out);
     }
 
     void tell()
     {
         for (auto& teller : m_nodes) {
-            const auto news = teller->decisions.takeHealthNews(m_now);
+            const auto news = teller->decisions.takeHealthReports(m_now);
             for (auto& hearer : m_nodes) {
                 if (hearer != teller)
-                    hearer->decisions.peerSaw(news, m_now);
+                    hearer->decisions.updatePeerHealth(news, m_now);
             }
         }
     }
--- a/libs/serving/tests/test_target_list.cpp
+++ b/libs/serving/tests/test_target_list.cpp
@@ -151,7 +151,7 @@
     // Sequence: it reads the list every few seconds; between two reads the store was away and entries lapsed.
     // Cause: a missing entry is taken for a target that is gone.
     target_list list(grace);
-    list.setReadsSeldom(true);
+    list.setReadsInfrequently(true);
     list.listed(record(5), at(0s));
     CHECK(list.dropped("t1", at(1s)).gone.empty());
     CHECK(list.tick(at(3s)).gone.empty());
