--- a/libs/peer/include/peer/peer_messages.h
+++ b/libs/peer/include/peer/peer_messages.h
@@ -1,4 +1,4 @@
-// What nodes say to each other: heartbeats over UDP, questions over TCP.
+// Defines the messages that nodes exchange, heartbeats over UDP and requests over TCP, and their encoding.
 #pragma once
 
 #include "decide/key_registry.h"
@@ -11,24 +11,24 @@
 
 namespace tamarack {
 
-/// One target's load, passed on in heartbeats. Small, since a node carries hundreds of them.
+/// Load of one target, forwarded in heartbeats. Kept small because a node forwards hundreds of them.
 struct load_entry {
-    std::uint32_t targetHash = 0; ///< low half of the name's stable hash
-    std::uint16_t running = 0;
-    std::uint16_t prefillPieces = 0; ///< prompt tokens waiting, in sixteenths of a thousand
-    std::uint16_t ageMilliseconds = 0;
+    std::uint32_t targetHash = 0; ///< low 32 bits of the stable hash of the target's name
+    std::uint16_t running = 0; ///< requests
+    std::uint16_t prefillPieces = 0; ///< queued prompt tokens, in units of 1000/16 tokens
+    std::uint16_t ageMilliseconds = 0; ///< of the measurement when the heartbeat is sent
     std::uint8_t flags = 0; ///< load_flags and the role
 };
 
-/// One service's demand at the sender.
+/// Demand for one service at the sender.
 struct demand_entry {
     std::uint32_t serviceHash = 0;
-    float promptTokens = 0; ///< a second
-    float outputTokens = 0; ///< a second
-    std::uint8_t refusedShare = 0; ///< of the work, in 255ths
+    float promptTokens = 0; ///< per second
+    float outputTokens = 0; ///< per second
+    std::uint8_t refusedShare = 0; ///< share of the work that is refused, in units of 1/255
 };
 
-/// A node that the sender has heard of, so that knowledge of nodes and of newer lives spreads.
+/// A node known to the sender. Digest entries spread new nodes and new incarnations by gossip.
 struct digest_entry {
     std::string vm;
     std::string address;
@@ -45,8 +45,8 @@
 };
 
 enum class peer_question : std::uint8_t {
-    agreed_state, ///< give me what the log has established, as you know it
-    key ///< may I run this non-idempotent request, whose home you are?
+    agreed_state, ///< asks for the state established by the log, as far as the receiver has read it
+    key ///< asks for permission to run a non-idempotent request whose key has its home at the receiver
 };
 
 struct peer_request {
@@ -57,7 +57,7 @@
 };
 
 struct peer_reply {
-    bool isKnown = false; ///< false: the question could not be answered here
+    bool isKnown = false; ///< false if the receiver could not answer the question
     std::string agreedState; ///< an encoded snapshot record
     key_answer key;
 };
@@ -65,7 +65,7 @@
 std::string encodeHeartbeat(const heartbeat& message);
 std::string encodeRequest(const peer_request& message);
 std::string encodeReply(const peer_reply& message);
-/// Nothing for bytes that are no message of ours.
+/// The decoders return nothing if the bytes are damaged or are not a message of this protocol version.
 std::optional<heartbeat> decodeHeartbeat(const std::string& bytes);
 std::optional<peer_request> decodeRequest(const std::string& bytes);
 std::optional<peer_reply> decodeReply(const std::string& bytes);
--- a/libs/peer/include/peer/peer_transport.h
+++ b/libs/peer/include/peer/peer_transport.h
@@ -1,4 +1,4 @@
-// Carries the messages between nodes: datagrams for heartbeats, one short connection for each question.
+// Provides the transport between nodes: heartbeats as UDP datagrams and one short TCP connection per request.
 #pragma once
 
 #include "base/clock.h"
@@ -14,16 +14,17 @@
 struct peer_counts {
     std::uint64_t bytesSent = 0;
     std::uint64_t bytesReceived = 0;
-    std::uint64_t undecodable = 0; ///< datagrams and frames that are no messages of ours
+    std::uint64_t undecodable = 0; ///< datagrams and frames that are not valid messages
 };
 
-/// Lives on one thread. Every byte that comes in may be garbage.
+/// Sends and receives peer messages. Must be used from a single thread. Received bytes are not trusted: invalid
+/// messages are counted and dropped.
 class peer_transport {
 public:
     using reply_sender = std::function<void(const peer_reply&)>;
     struct handlers {
         std::function<void(const heartbeat&)> onHeartbeat;
-        /// The reply may be sent later; the asker waits for as long as it set.
+        /// The reply may be sent asynchronously, within the timeout that the requesting node has set.
         std::function<void(const peer_request&, reply_sender)> onRequest;
     };
 
@@ -32,10 +33,12 @@
     peer_transport(const peer_transport&) = delete;
     peer_transport& operator=(const peer_transport&) = delete;
 
-    /// False if the port is taken.
+    /// Listens on the port for both UDP and TCP. Returns false if the port is in use.
     bool listen(const QHostAddress& address, quint16 port);
+    /// Sends a heartbeat without any guarantee of delivery.
     void send(const std::string& address, int port, const heartbeat& message);
-    /// `done` gets nothing when no reply came in time: the question may still have been acted on.
+    /// Sends a request. `done` receives nothing if the request fails or no reply arrives within `timeout`; the peer may
+    /// have processed the request nevertheless.
     void ask(const std::string& address, int port, const peer_request& request, duration timeout,
         std::function<void(std::optional<peer_reply>)> done);
     const peer_counts& counts() const;
--- a/libs/peer/src/peer_codec.cpp
+++ b/libs/peer/src/peer_codec.cpp
@@ -1,4 +1,5 @@
-// cereal's portable binary archives, behind a magic number and a version.
+// Encodes peer messages as cereal portable binary archives, preceded by a checksum and by a magic number that includes
+// the protocol version.
 #include "peer/peer_messages.h"
 
 #include "base/hash.h"
@@ -58,7 +59,7 @@
 
 namespace {
 
-    constexpr std::uint32_t magic = 0x54525931; // "TRY1": protocol of this name and version
+    constexpr std::uint32_t magic = 0x54525931; // "TRY1": protocol name and version
 
     constexpr std::size_t checksumBytes = 8;
 
@@ -82,8 +83,8 @@
         return checksum(payload) + payload;
     }
 
-    // The checksum comes first: cereal makes room for whatever length a damaged message names, so garbage on the port
-    // could otherwise take all memory.
+    // Verifies the checksum before parsing: cereal allocates whatever length a damaged message contains, so garbage
+    // received on the port could otherwise exhaust the memory.
     template <class Message> std::optional<Message> decode(const std::string& bytes)
     {
         if (bytes.size() <= checksumBytes)
@@ -102,7 +103,7 @@
             archive(message);
             return message;
         } catch (const std::exception&) {
-            return std::nullopt; // a message of another version
+            return std::nullopt; // a message of another protocol version
         }
     }
 
--- a/libs/peer/src/peer_transport.cpp
+++ b/libs/peer/src/peer_transport.cpp
@@ -1,4 +1,4 @@
-// QUdpSocket and QTcpSocket; frames are a length and a message.
+// Implements the transport with QUdpSocket and QTcpSocket. A TCP frame is a 32-bit big-endian length and a message.
 #include "peer/peer_transport.h"
 
 #include <QNetworkDatagram>
@@ -14,7 +14,7 @@
 namespace {
 
     constexpr quint32 maxFrameBytes = 16 * 1024 * 1024;
-    constexpr int serverPatienceMilliseconds = 30'000;
+    constexpr int connectionTimeoutMilliseconds = 30'000;
 
     QByteArray frame(const std::string& bytes)
     {
@@ -24,25 +24,25 @@
         return out;
     }
 
-    enum class frame_state { partial, whole, broken };
+    enum class frame_state { partial, complete, invalid };
 
-    frame_state takeFrame(const QByteArray& buffer, std::string& out)
+    frame_state parseFrame(const QByteArray& buffer, std::string& out)
     {
         if (buffer.size() < 4)
             return frame_state::partial;
         const auto length = qFromBigEndian<quint32>(buffer.constData());
         if (length > maxFrameBytes)
-            return frame_state::broken;
+            return frame_state::invalid;
         if (buffer.size() < static_cast<qsizetype>(length) + 4)
             return frame_state::partial;
         out.assign(buffer.constData() + 4, length);
-        return frame_state::whole;
+        return frame_state::complete;
     }
 
-    /// One question on its way. Ends itself after the reply, a failure or the timeout.
-    class question : public QObject {
+    /// One request in flight. Deletes itself after the reply, a failure or the timeout.
+    class pending_request : public QObject {
     public:
-        question(const std::string& address, int port, QByteArray bytes, duration timeout, peer_counts& counts,
+        pending_request(const std::string& address, int port, QByteArray bytes, duration timeout, peer_counts& counts,
             std::function<void(std::optional<peer_reply>)> done)
             : m_bytes(std::move(bytes))
             , m_counts(counts)
@@ -67,10 +67,10 @@
             m_counts.bytesReceived += static_cast<std::uint64_t>(bytes.size());
             m_buffer += bytes;
             std::string body;
-            const auto state = takeFrame(m_buffer, body);
-            if (state == frame_state::whole)
+            const auto state = parseFrame(m_buffer, body);
+            if (state == frame_state::complete)
                 finish(decodeReply(body));
-            if (state == frame_state::broken)
+            if (state == frame_state::invalid)
                 finish(std::nullopt);
         }
 
@@ -98,7 +98,7 @@
     peer_counts counts;
     QUdpSocket udp;
     QTcpServer tcp;
-    QObject questions; // parent of every question, so that they end with the transport
+    QObject pendingRequests; // parent of all pending requests, so that they are destroyed with the transport
 
     void readDatagrams()
     {
@@ -113,28 +113,28 @@
         }
     }
 
-    void acceptQuestions()
+    void acceptConnections()
     {
         while (QTcpSocket* socket = tcp.nextPendingConnection()) {
             QObject::connect(socket, &QTcpSocket::disconnected, socket, &QObject::deleteLater);
             auto buffer = std::make_shared<QByteArray>();
             QObject::connect(
-                socket, &QTcpSocket::readyRead, socket, [this, socket, buffer] { readQuestion(socket, *buffer); });
-            QTimer::singleShot(serverPatienceMilliseconds, socket, [socket] { socket->abort(); });
+                socket, &QTcpSocket::readyRead, socket, [this, socket, buffer] { readRequest(socket, *buffer); });
+            QTimer::singleShot(connectionTimeoutMilliseconds, socket, [socket] { socket->abort(); });
         }
     }
 
-    void readQuestion(QTcpSocket* socket, QByteArray& buffer)
+    void readRequest(QTcpSocket* socket, QByteArray& buffer)
     {
         const auto bytes = socket->readAll();
         counts.bytesReceived += static_cast<std::uint64_t>(bytes.size());
         buffer += bytes;
         std::string body;
-        const auto frameState = takeFrame(buffer, body);
+        const auto frameState = parseFrame(buffer, body);
         if (frameState == frame_state::partial)
             return;
         buffer.clear();
-        const auto request = frameState == frame_state::whole ? decodeRequest(body) : std::nullopt;
+        const auto request = frameState == frame_state::complete ? decodeRequest(body) : std::nullopt;
         if (!request) {
             ++counts.undecodable;
             socket->abort();
@@ -157,7 +157,8 @@
 {
     m_state->on = std::move(on);
     QObject::connect(&m_state->udp, &QUdpSocket::readyRead, &m_state->udp, [this] { m_state->readDatagrams(); });
-    QObject::connect(&m_state->tcp, &QTcpServer::newConnection, &m_state->tcp, [this] { m_state->acceptQuestions(); });
+    QObject::connect(
+        &m_state->tcp, &QTcpServer::newConnection, &m_state->tcp, [this] { m_state->acceptConnections(); });
 }
 
 peer_transport::~peer_transport() = default;
@@ -178,8 +179,9 @@
 void peer_transport::ask(const std::string& address, int port, const peer_request& request, duration timeout,
     std::function<void(std::optional<peer_reply>)> done)
 {
-    auto* asked = new question(address, port, frame(encodeRequest(request)), timeout, m_state->counts, std::move(done));
-    asked->setParent(&m_state->questions);
+    auto* pending
+        = new pending_request(address, port, frame(encodeRequest(request)), timeout, m_state->counts, std::move(done));
+    pending->setParent(&m_state->pendingRequests);
 }
 
 const peer_counts& peer_transport::counts() const { return m_state->counts; }
--- a/libs/peer/tests/test_peer.cpp
+++ b/libs/peer/tests/test_peer.cpp
@@ -1,4 +1,4 @@
-// Messages between nodes: round trips, garbage, size.
+// Tests the encoding of peer messages: round trips, damaged and random bytes, and the size of a heartbeat.
 #include "peer/peer_messages.h"
 
 #include <catch2/catch.hpp>
@@ -34,7 +34,7 @@
 TEST_CASE("test_heartbeat_round_trip_within_one_datagram")
 {
     const auto bytes = encodeHeartbeat(fullHeartbeat());
-    CHECK(bytes.size() < 1472); // one Ethernet frame: a larger datagram is lost whole when any part is
+    CHECK(bytes.size() < 1472); // fits one Ethernet frame: a fragmented datagram is lost if any fragment is lost
     const auto read = decodeHeartbeat(bytes);
     REQUIRE(read);
     CHECK(read->sender.instance == fullHeartbeat().sender.instance);
@@ -51,21 +51,21 @@
     peer_reply reply;
     reply.isKnown = true;
     reply.key = { key_decision::moved, "kept", { "c", 3 } };
-    const auto back = decodeReply(encodeReply(reply));
-    REQUIRE(back);
-    CHECK(back->key.movedTo == reply.key.movedTo);
+    const auto decodedReply = decodeReply(encodeReply(reply));
+    REQUIRE(decodedReply);
+    CHECK(decodedReply->key.movedTo == reply.key.movedTo);
 }
 
 TEST_CASE("test_garbage_is_no_message")
 {
-    // Symptom: a node takes all memory, or ends, after a stray datagram.
-    // Cause: a length inside the garbage was believed.
+    // Guards against a node that exhausts its memory or exits after a stray datagram, which happens when a length field
+    // in damaged bytes is trusted.
     const auto whole = encodeHeartbeat(fullHeartbeat());
     CHECK(rc::check("damaged bytes do not decode", [&] {
         auto bytes = whole;
         const auto at = *rc::gen::inRange<std::size_t>(0, bytes.size());
-        const auto flip = *rc::gen::inRange<int>(1, 256);
-        bytes[at] = static_cast<char>(bytes[at] ^ flip);
+        const auto mask = *rc::gen::inRange<int>(1, 256);
+        bytes[at] = static_cast<char>(bytes[at] ^ mask);
         RC_ASSERT(!decodeHeartbeat(bytes));
     }));
     CHECK(rc::check("random bytes do not decode", [] {
--- a/libs/platform/include/platform/log_client.h
+++ b/libs/platform/include/platform/log_client.h
@@ -1,4 +1,4 @@
-// The platform's append-only log, over HTTP.
+// Provides the HTTP client of the platform's append-only log.
 #pragma once
 
 #include "base/clock.h"
@@ -18,15 +18,16 @@
     std::string data;
 };
 
-/// Part of the log. `first` is the oldest record still kept, `end` the offset that the next append will get.
+/// A range of records of the log.
 struct log_page {
-    std::int64_t first = 0;
-    std::int64_t end = 0;
+    std::int64_t first = 0; ///< offset of the oldest retained record
+    std::int64_t end = 0; ///< offset that the next append will get
     std::vector<log_entry> entries;
 };
 
-/// Reads and appends. Both may be sent twice by the library below (QNetworkAccessManager does that when the peer closes
-/// without an answer); that is safe, since every record of ours is a compare-and-set that counts at most once.
+/// Reads from and appends to one stream of the log. QNetworkAccessManager may send a request twice: it does so when the
+/// peer closes the connection without a response. That is safe, because every record is a compare-and-set that takes
+/// effect at most once.
 class log_client {
 public:
     log_client(const endpoint& service, std::string stream, duration timeout);
@@ -34,9 +35,11 @@
     log_client(const log_client&) = delete;
     log_client& operator=(const log_client&) = delete;
 
-    /// `done` gets nothing when the log cannot be read now.
+    /// Reads the records from offset `from` on. `done` receives nothing if the log cannot be read or the call times
+    /// out.
     void read(std::int64_t from, std::function<void(std::optional<log_page>)> done);
-    /// `done` gets nothing when the outcome is not known: the record may still be there or arrive later.
+    /// Appends a record; `done` receives its offset. It receives nothing if the outcome is unknown: the record may have
+    /// been appended or may still be appended later.
     void append(const std::string& data, std::function<void(std::optional<std::int64_t>)> done);
 
 private:
--- a/libs/platform/include/platform/record_codec.h
+++ b/libs/platform/include/platform/record_codec.h
@@ -1,4 +1,5 @@
-// Log records as JSON text, so that operators can read the log and software versions can add fields.
+// Provides the encoding of log records as JSON text, which operators can read and later software versions can extend
+// with fields.
 #pragma once
 
 #include "decide/records.h"
@@ -9,7 +10,7 @@
 namespace tamarack {
 
 std::string encodeRecord(const record_origin& origin, const record_body& body);
-/// Nothing if the text is not a record of a kind known here. Unknown fields are passed over.
+/// Returns nothing if the text is not a valid record of a known kind. Unknown fields are ignored.
 std::optional<log_record> decodeRecord(log_offset offset, const std::string& text);
 
 }
--- a/libs/platform/include/platform/vm_list_client.h
+++ b/libs/platform/include/platform/vm_list_client.h
@@ -1,4 +1,5 @@
-// The platform's list of VMs, over HTTP. It lags: absence and presence are hints, not proofs.
+// Provides the HTTP client of the platform's list of VMs. The list may be stale, so the presence or absence of a VM in
+// it proves nothing about the VM's present state.
 #pragma once
 
 #include "base/clock.h"
@@ -12,6 +13,7 @@
 
 namespace tamarack {
 
+/// Reads the list of VMs. Must be used from a thread with an event loop.
 class vm_list_client {
 public:
     vm_list_client(const endpoint& service, duration timeout);
@@ -19,7 +21,7 @@
     vm_list_client(const vm_list_client&) = delete;
     vm_list_client& operator=(const vm_list_client&) = delete;
 
-    /// `done` gets nothing when the list cannot be read now.
+    /// Reads the whole list. `done` receives nothing if the list cannot be read or the call times out.
     void read(std::function<void(std::optional<std::vector<listed_vm>>)> done);
 
 private:
--- a/libs/platform/src/log_client.cpp
+++ b/libs/platform/src/log_client.cpp
@@ -1,4 +1,4 @@
-// The log over QNetworkAccessManager.
+// Implements the log client with QNetworkAccessManager.
 #include "platform/log_client.h"
 
 #include <QNetworkAccessManager>
@@ -12,7 +12,7 @@
 namespace {
 
     using nlohmann::json;
-    constexpr int pageSize = 500;
+    constexpr int maxRecordsPerPage = 500;
 
     std::optional<log_page> parsePage(const QByteArray& body)
     {
@@ -67,7 +67,7 @@
 
 void log_client::read(std::int64_t from, std::function<void(std::optional<log_page>)> done)
 {
-    const auto query = QString("?from=%1&max=%2").arg(from).arg(pageSize);
+    const auto query = QString("?from=%1&max=%2").arg(from).arg(maxRecordsPerPage);
     QNetworkReply* reply = m_state->network.get(m_state->request(query));
     QObject::connect(reply, &QNetworkReply::finished, reply, [reply, done = std::move(done)] {
         reply->deleteLater();
--- a/libs/platform/src/record_codec.cpp
+++ b/libs/platform/src/record_codec.cpp
@@ -1,4 +1,4 @@
-// One encoder and one decoder for each record kind, in a table.
+// Implements one encoder and one decoder per record kind; a table maps kind names to decoders.
 #include "platform/record_codec.h"
 
 #include <array>
@@ -102,13 +102,13 @@
         return snapshot_record { std::move(data) };
     }
 
-    struct kind_entry {
+    struct record_kind {
         const char* name;
         record_body (*read)(const json&);
     };
 
-    // In the order of record_body's alternatives.
-    constexpr std::array<kind_entry, std::variant_size_v<record_body>> kinds { {
+    // Indexed by the alternative of record_body; the order must match.
+    constexpr std::array<record_kind, std::variant_size_v<record_body>> recordKinds { {
         { "publication", readPublication },
         { "claim", readClaim },
         { "renewal", readRenewal },
@@ -118,7 +118,7 @@
         { "snapshot", readSnapshot },
     } };
 
-    bool isClosedListValid(const record_body& body)
+    bool hasKnownEnumValues(const record_body& body)
     {
         if (const auto* order = std::get_if<order_record>(&body))
             return order->order.kind != order_kind::none;
@@ -132,7 +132,7 @@
 std::string encodeRecord(const record_origin& origin, const record_body& body)
 {
     json line = std::visit([](const auto& r) { return toJson(r); }, body);
-    line["kind"] = kinds[body.index()].name;
+    line["kind"] = recordKinds[body.index()].name;
     line["writer"] = toString(origin.writer);
     line["sequence"] = origin.sequence;
     return line.dump(-1, ' ', false, json::error_handler_t::replace);
@@ -148,16 +148,16 @@
         const auto& kind = line.at("kind").get_ref<const std::string&>();
         if (!writer.isValid())
             return std::nullopt;
-        for (const auto& entry : kinds) {
+        for (const auto& entry : recordKinds) {
             if (kind != entry.name)
                 continue;
             log_record record { offset, { writer, line.at("sequence") }, entry.read(line) };
-            if (!isClosedListValid(record.body))
+            if (!hasKnownEnumValues(record.body))
                 return std::nullopt;
             return record;
         }
     } catch (const json::exception&) {
-        // A field is missing or mistyped: not a record of ours, or damaged.
+        // A field is missing or has the wrong type: the text is damaged or is not a record.
     }
     return std::nullopt;
 }
--- a/libs/platform/src/vm_list_client.cpp
+++ b/libs/platform/src/vm_list_client.cpp
@@ -1,4 +1,5 @@
-// The VM list over QNetworkAccessManager; it only reads, which may be doubled.
+// Implements the VM list client with QNetworkAccessManager, which may send a request twice. That is safe, because the
+// client only reads.
 #include "platform/vm_list_client.h"
 
 #include <QNetworkAccessManager>
--- a/libs/platform/tests/test_record_codec.cpp
+++ b/libs/platform/tests/test_record_codec.cpp
@@ -1,4 +1,4 @@
-// Log records as text.
+// Tests the encoding of log records as text.
 #include "platform/record_codec.h"
 
 #include <catch2/catch.hpp>
