--- a/libs/gateway/src/cache_watch.cpp
+++ b/libs/gateway/src/cache_watch.cpp
@@ -168,7 +168,7 @@
 void cache_watch::told(const std::vector<cache_news>& news)
 {
     for (const auto& item : news) {
-        const target_id row = m_decisions.fleet().findHash(item.target);
+        const target_id row = m_decisions.fleet().findByHash(item.target);
         if (row.isValid())
             m_decisions.cacheTold(row, { { item.part, item.tokens } });
     }
@@ -261,7 +261,7 @@
 {
     std::vector<cache_news> out;
     for (const auto& event : events) {
-        const bool isKept = event.tokens >= serving::prompt_cache_map::fewestTokens;
+        const bool isKept = event.tokens >= serving::prompt_cache_map::minPartTokens;
         const bool isNews
             = isKept ? engine.toldParts.insert(event.part).second : engine.toldParts.erase(event.part) > 0;
         if (!isNews)
--- a/libs/gateway/src/flow_table.cpp
+++ b/libs/gateway/src/flow_table.cpp
@@ -110,7 +110,7 @@
     } else if (const auto* refusal = std::get_if<serving::refuse_request>(&command)) {
         if (const auto flow = find(refusal->request))
             flow->refuse(refusal->kind, refusal->retryAfter);
-    } else if (const auto* passed = std::get_if<serving::pass_failure_on>(&command)) {
+    } else if (const auto* passed = std::get_if<serving::forward_failure>(&command)) {
         if (const auto flow = find(passed->request))
             flow->passFailureOn();
     }
--- a/libs/gateway/src/node_messages.cpp
+++ b/libs/gateway/src/node_messages.cpp
@@ -127,7 +127,7 @@
 
     template <class Archive> void serialize(Archive& archive, load_entry& m) { archive(m.target, m.running); }
 
-    template <class Archive> void serialize(Archive& archive, health_news& m)
+    template <class Archive> void serialize(Archive& archive, health_report& m)
     {
         archive(m.target, m.answers, m.failures);
     }
@@ -165,7 +165,7 @@
         archive(m.previous, m.upTo, m.changes);
     }
 
-    template <class Archive> void serialize(Archive& archive, told_job& m)
+    template <class Archive> void serialize(Archive& archive, prefill_report& m)
     {
         archive(m.target, m.number, m.rank, m.work, m.ageMilliseconds, m.part, m.partTokens);
     }
--- a/libs/gateway/src/node_messages.h
+++ b/libs/gateway/src/node_messages.h
@@ -5,7 +5,7 @@
 #include "serving/message_relay.h"
 #include "serving/node_directory.h"
 #include "serving/peer_load.h"
-#include "serving/read_queues.h"
+#include "serving/prefill_queues.h"
 #include "serving/target_follower.h"
 #include "serving/target_health.h"
 
@@ -27,16 +27,16 @@
     serving::node_pulse pulse;
     std::optional<serving::node_state> whole; ///< told when a node has started, and now and then
     std::vector<serving::load_entry> load;
-    std::vector<serving::told_job> jobs; ///< all that are not read yet
+    std::vector<serving::prefill_report> jobs; ///< all that are not read yet
     std::vector<cache_news> caches;
-    std::vector<serving::health_news> health; ///< of targets that have failed lately
+    std::vector<serving::health_report> health; ///< of targets that have failed lately
     std::vector<std::uint32_t> changing; ///< engines that the sender has change their role; shortHash() of each
 };
 
 /// Sent when prompts go to engines, so that peers do not choose the same engine before the next heartbeat.
 struct job_note {
     std::uint32_t node = 0; ///< shortHash() of the sender's VM
-    std::vector<serving::told_job> jobs;
+    std::vector<serving::prefill_report> jobs;
 };
 
 /// Sent when an engine was asked for all that it keeps.
--- a/libs/gateway/src/role_orders.cpp
+++ b/libs/gateway/src/role_orders.cpp
@@ -69,7 +69,7 @@
     if (now < m_lookAt || !isOnDuty(self, alive))
         return;
     m_lookAt = now + lookPause;
-    const auto changes = m_split.due(now, m_parts.decisions.readWait());
+    const auto changes = m_split.dueChanges(now, m_parts.decisions.readWait());
     if (changes.empty())
         return;
     if (m_lease.holdsFor(tellTime + 2 * callLimit, now))
@@ -106,12 +106,12 @@
 
 void role_orders::begin(const std::vector<serving::role_change>& changes, instant now)
 {
-    const auto& view = m_split.view();
+    const auto& view = m_split.lastDecision();
     m_parts.log.write(log_event::roles_due,
-        { { "service", view.service }, { "engines", view.engines }, { "readers", view.readers },
+        { { "service", view.service }, { "engines", view.engines }, { "readers", view.prefillEngines },
             { "wanted", view.wanted }, { "idle", view.isIdle } });
     for (const auto& change : changes) {
-        m_split.ordered(change.engine, change.role, now);
+        m_split.recordOrder(change.engine, change.role, now);
         m_changes.push_back(
             { m_parts.decisions.fleet().instance[change.engine.value], change.role, change_step::told, now });
     }
@@ -132,7 +132,7 @@
 void role_orders::told(const std::vector<std::uint32_t>& engines, instant now)
 {
     for (const auto hash : engines) {
-        if (const auto row = m_parts.decisions.fleet().findHash(hash); row.isValid())
+        if (const auto row = m_parts.decisions.fleet().findByHash(hash); row.isValid())
             m_parts.decisions.roleChanging(row, now + toldLife);
     }
 }
@@ -255,7 +255,7 @@
     m_parts.log.write(log_event::role_kept, { { "target", instance }, { "reason", reason } });
     const auto row = m_parts.decisions.fleet().find(instance);
     if (row.isValid()) {
-        m_split.refused(row, boot_clock::now());
+        m_split.recordRefusal(row, boot_clock::now());
         m_parts.decisions.roleChanging(row, {});
     }
     std::erase_if(m_changes, [&](const auto& change) { return change.instance == instance; });
--- a/libs/gateway/tests/test_role_orders.cpp
+++ b/libs/gateway/tests/test_role_orders.cpp
@@ -108,7 +108,7 @@
         const auto& fleet = decisions.fleet();
         int out = 0;
         for (std::uint32_t row = 0; row < fleet.size(); ++row)
-            out += !fleet.takesWork({ row }, boot_clock::now());
+            out += !fleet.acceptsWork({ row }, boot_clock::now());
         return out;
     }
 };
--- a/libs/gateway/tests/test_shared_view.cpp
+++ b/libs/gateway/tests/test_shared_view.cpp
@@ -56,7 +56,7 @@
     bool takesWork(const std::string& instance) const
     {
         const auto id = decisions.fleet().find(instance);
-        return id.isValid() && decisions.fleet().takesWork(id, boot_clock::now());
+        return id.isValid() && decisions.fleet().acceptsWork(id, boot_clock::now());
     }
 };
 
--- a/libs/serving/include/serving/dispatcher.h
+++ b/libs/serving/include/serving/dispatcher.h
@@ -2,9 +2,9 @@
 // thread.
 #pragma once
 
+#include "serving/in_flight_requests.h"
 #include "serving/peer_load.h"
 #include "serving/placement.h"
-#include "serving/request_book.h"
 #include "serving/retry_allowance.h"
 
 #include <map>
@@ -32,15 +32,15 @@
     void targetGone(const std::string& instance, instant now);
     void peerTold(const std::string& peer, const std::vector<load_entry>& load, instant now);
     /// Prompts that a peer, by shortHash() of its VM, has sent to engines; `isAll`: and no others.
-    void peerSent(std::uint32_t peer, const std::vector<told_job>& jobs, bool isAll, instant now);
+    void peerSent(std::uint32_t peer, const std::vector<prefill_report>& jobs, bool isAll, instant now);
     /// The engine takes another role: it gets nothing new until then, or until it is listed with that role.
-    void roleChanging(target_id engine, instant until) { m_fleet.changingUntil[engine.value] = until; }
+    void roleChanging(target_id engine, instant until) { m_fleet.roleChangeUntil[engine.value] = until; }
     /// How long a silent peer counts.
-    void setPeerLife(duration life) { m_peers.setLife(life); }
+    void setPeerLife(duration life) { m_peers.setTimeToLive(life); }
     /// What a peer's attempts came to.
-    void peerSaw(const std::vector<health_news>& news, instant now);
+    void peerSaw(const std::vector<health_report>& news, instant now);
     /// What own attempts came to since the last call, for the peers.
-    std::vector<health_news> takeHealthNews(instant now) { return m_health.takeNews(now); }
+    std::vector<health_report> takeHealthNews(instant now) { return m_health.takeReports(now); }
     /// All nodes known, this one included, whether they seem alive or not; 0: it is not known how many there are.
     void setKnownNodes(int nodes);
 
@@ -61,26 +61,26 @@
     void tick(instant now, command_list& out);
 
     bool isCurrent(request_id request, attempt_id attempt) const;
-    void loadTold(target_id target, const told_load& load) { m_fleet.told[target.value] = load; }
-    void cacheTold(target_id engine, const std::vector<cache_event>& events) { m_caches.told(engine, events); }
-    void cacheListed(target_id engine, const std::vector<cache_event>& parts) { m_caches.listed(engine, parts); }
-    std::vector<prompt_part> partsThere(target_id engine) const { return m_caches.partsThere(engine); }
+    void loadTold(target_id target, const reported_load& load) { m_fleet.reportedLoad[target.value] = load; }
+    void cacheTold(target_id engine, const std::vector<cache_event>& events) { m_caches.applyEvents(engine, events); }
+    void cacheListed(target_id engine, const std::vector<cache_event>& parts) { m_caches.replaceParts(engine, parts); }
+    std::vector<prompt_part> partsThere(target_id engine) const { return m_caches.cachedParts(engine); }
     void cacheLost(target_id engine) { m_caches.forget(engine); }
     /// The attempt that ended at the target has left an idle connection, to be used until then.
-    void connectionKept(target_id target, instant until) { m_connections.kept(target, until); }
+    void connectionKept(target_id target, instant until) { m_connections.add(target, until); }
     std::vector<health_change> takeHealthChanges() { return m_health.takeChanges(); }
     const fleet_table& fleet() const { return m_fleet; }
-    std::vector<load_entry> ownLoad() const { return m_peers.own(); }
-    std::vector<told_job> ownJobs(instant now) const { return m_queues.own(now); }
+    std::vector<load_entry> ownLoad() const { return m_peers.localLoad(); }
+    std::vector<prefill_report> ownJobs(instant now) const { return m_queues.localReports(now); }
     /// Prompts sent to engines since the last call, for the peers.
-    std::vector<told_job> takeNewJobs(instant now) { return m_queues.takeNew(now); }
+    std::vector<prefill_report> takeNewJobs(instant now) { return m_queues.takeNewReports(now); }
     /// For which long prompts wait at engines that only read, lately, in seconds.
     double readWait() const { return m_readWait; }
     std::size_t held() const { return m_book.held(); }
     std::size_t waiting() const { return m_waiting.size(); }
 
 private:
-    placement_need needOf(std::size_t row, instant now) const;
+    placement_query needOf(std::size_t row, instant now) const;
     /// The prompt of the present attempt was read, or will not be.
     void endReading(std::size_t row, instant now, bool wasRead);
     retry_allowance& allowanceOf(const std::string& service);
@@ -111,13 +111,13 @@
     fleet_table m_fleet;
     peer_load m_peers;
     engine_pace m_pace;
-    read_queues m_queues;
+    prefill_queues m_queues;
     prompt_cache_map m_caches;
     target_health m_health;
-    kept_connections m_connections;
+    idle_connections m_connections;
     placement m_placement;
     random_source m_random;
-    request_book m_book;
+    in_flight_requests m_book;
     retry_bound m_retryBound;
     instant m_startedAt;
     std::map<std::string, retry_allowance> m_allowances; // by service
--- a/libs/serving/include/serving/engine_pace.h
+++ b/libs/serving/include/serving/engine_pace.h
@@ -1,5 +1,5 @@
-// How fast engines read prompts, take over caches and write, learned from their own answers and from those of their
-// like.
+// Estimates how fast engines prefill prompts, import KV caches and decode, from the durations that this node observes
+// at them and at engines of the same kind.
 #pragma once
 
 #include "serving/fleet_table.h"
@@ -10,73 +10,77 @@
 
 namespace tamarack::serving {
 
-/// The work of reading `total` tokens of which `kept` are in the engine's cache, in tokens read at the usual pace. Each
-/// token read looks at all before it, so long prompts cost more than their length.
-double promptWork(std::int64_t kept, std::int64_t total);
+/// The cost of prefilling `total` tokens of which `kept` are in the engine's KV cache, in tokens that take the usual
+/// time each. Every token attends to all tokens before it, so the cost grows faster than the length of the prompt.
+double prefillWork(std::int64_t kept, std::int64_t total);
 
-/// Seconds to move the KV cache of so many tokens from one engine to another one, by what the configuration says.
+/// Seconds to transfer the KV cache of `tokens` tokens from one engine to another, from the link speed in the
+/// configuration.
 double transferSeconds(const service_profile& service, std::int64_t tokens, bool isSameZone);
 
-/// What goes wrong with each engine by itself: with many nodes before many engines, one node meets an engine that is
-/// idle once or twice in half a minute and never learns its pace. Engines of one service and role are alike as far as
-/// is known, so what one teaches counts for all; what an engine shows to take longer than its like is its slowness.
+/// Estimates are kept by service and role, because with many nodes and many engines a node finds a given engine idle
+/// only once or twice in half a minute and would never learn the pace of each engine by itself. Engines of one service
+/// and role are assumed to be alike, so an observation at one of them counts for all; how much longer one engine takes
+/// than the others is kept by engine, as its slowness.
 class engine_pace {
 public:
     explicit engine_pace(const fleet_table& fleet);
 
-    /// Seconds that the engine takes for one token of work.
-    double secondsPerToken(target_id id, instant now) const { return usualSecondsPerToken(id) * slowness(id, now); }
-    /// The same for its like.
-    double usualSecondsPerToken(target_id id) const;
-    /// Seconds from sending a prompt to the first event, or the exported cache, besides those for its work.
-    double readBase(target_id id) const;
-    /// Seconds from sending a request for a cache to import to the first event, besides those for the transfer.
-    double importBase(target_id id) const;
-    /// Seconds for a step in which an engine of this kind writes a token of each stream and reads nothing.
+    /// Seconds that this engine takes for one token of prefill work.
+    double secondsPerToken(target_id id, instant now) const { return typicalSecondsPerToken(id) * slowness(id, now); }
+    /// Seconds that engines of the same kind typically take for one token of prefill work.
+    double typicalSecondsPerToken(target_id id) const;
+    /// Seconds from sending a prompt to its first event, or to the exported KV cache, beyond those for the prefill
+    /// work.
+    double prefillOverheadSeconds(target_id id) const;
+    /// Seconds from sending a request that imports a KV cache to its first event, beyond those for the transfer.
+    double importOverheadSeconds(target_id id) const;
+    /// Seconds of a step in which an engine of this kind decodes one token of each stream and prefills nothing.
     double stepSeconds(target_id id) const;
-    /// How many times as long as its like the engine takes.
+    /// The factor by which the engine's durations exceed those of its kind; 1 for a typical engine.
     double slowness(target_id id, instant now) const;
 
-    /// The prompt was read `elapsed` after it was sent, of which `other` seconds were thought to be for what was before
-    /// it and for what it had to fetch.
-    void read(target_id id, double work, double other, duration elapsed, instant now);
-    /// The first event came `elapsed` after a cache was to be imported, whose transfer was thought to take `transfer`
-    /// seconds.
-    void imported(target_id id, double transfer, duration elapsed);
-    /// A stream's next event, of so many tokens, came after `interval`.
-    void wrote(target_id id, int tokens, duration interval);
+    /// Records that a prompt was prefilled `elapsed` after it was sent. `otherSeconds` is the predicted part of that time, in
+    /// seconds, for jobs ahead of it and for fetching its prefix.
+    void recordPrefill(target_id id, double work, double otherSeconds, duration elapsed, instant now);
+    /// Records that the first event came `elapsed` after the request for a KV cache import was sent; `transfer` is the
+    /// predicted part for the transfer, in seconds.
+    void recordImport(target_id id, double transfer, duration elapsed);
+    /// Records that the next event of a stream, with `tokens` tokens, came after `interval`.
+    void recordStreamEvent(target_id id, int tokens, duration interval);
     void forget(target_id id);
 
 private:
-    /// Engines of one service and role.
+    /// Estimates for the engines of one service and role.
     struct engine_kind {
         std::string service;
         target_role role = target_role::prefill;
         double secondsPerToken = 0;
-        double readBase = 0;
-        double importBase = 0;
+        double prefillOverheadSeconds = 0;
+        double importOverheadSeconds = 0;
         double stepSeconds = 0;
-        double baseReads = 0; // that taught, each by its part
-        double paceReads = 0;
-        double usualLateness = 0; // logarithm of how many times as long as expected reading takes at the mean
-        int imports = 0;
+        // Numbers of samples; each prefill counts for both estimates, in shares that add up to 1.
+        double overheadSamples = 0;
+        double paceSamples = 0;
+        double typicalLateness = 0; // logarithm of actual by expected prefill time, on average
+        int importSamples = 0;
     };
     struct engine_state {
-        double usualSlowness = 1; // it is built so
-        double slowness = 1; // of late
-        instant at; // it was as slow then
+        double typicalSlowness = 1; // lasting, from differences between engines of one kind
+        double slowness = 1; // current, as of updatedAt
+        instant updatedAt;
     };
 
-    static engine_kind unknownKind(target_role role);
+    static engine_kind defaultKind(target_role role);
     const engine_kind& kindOf(target_id id) const;
-    engine_kind& learningKind(target_id id);
-    static void followRead(engine_kind& kind, double work, double own);
-    void followSlowness(target_id id, double work, double other, double own, instant now);
+    engine_kind& findOrAddKind(target_id id);
+    static void updatePrefillEstimates(engine_kind& kind, double work, double ownSeconds);
+    void updateSlowness(target_id id, double work, double otherSeconds, double ownSeconds, instant now);
 
     const fleet_table& m_fleet;
-    std::vector<engine_state> m_engines; // by row
-    std::vector<engine_kind> m_kinds; // a few, so the one that fits is found by looking at each
-    std::vector<engine_kind> m_unknown; // by role, for kinds that have not taught anything
+    std::vector<engine_state> m_engines; // by row of the fleet
+    std::vector<engine_kind> m_kinds; // few enough for a linear search
+    std::vector<engine_kind> m_defaultKinds; // by role, for kinds without any samples
 };
 
 }
--- a/libs/serving/include/serving/engine_queue.h
+++ b/libs/serving/include/serving/engine_queue.h
@@ -1,5 +1,5 @@
-// What waits at one engine and what it reads now, as far as this node can know: its own requests and those that its
-// peers told of.
+// Models the prompts that wait or are prefilled at one engine, as far as this node knows: its own requests and those
+// that its peers report.
 #pragma once
 
 #include "base/clock.h"
@@ -10,82 +10,84 @@
 
 namespace tamarack::serving {
 
-/// In which order an engine takes up prompts: the lowest first.
-enum class read_rank : unsigned char {
+/// The priority of a prompt in an engine's queue; the lowest is prefilled first.
+enum class prefill_rank : unsigned char {
     tiny,
     small,
     medium,
     large,
     larger,
     largest,
-    late ///< cannot be fast any more, whatever its size
+    late ///< cannot meet its aim any more, whatever its size
 };
 
-/// One prompt to be read.
-struct read_job {
+/// One prompt to be prefilled.
+struct prefill_job {
     std::uint64_t key = 0; ///< unique over all nodes
-    read_rank rank = read_rank::tiny;
-    double seconds = 0; ///< that the engine needs for it
+    prefill_rank rank = prefill_rank::tiny;
+    double seconds = 0; ///< prefill time at the engine
     instant arrivedAt;
-    bool isOwn = false; ///< this node's, so that it will hear of its end
+    bool isOwn = false; ///< sent by this node, which is therefore notified when it ends
 };
 
-/// A model of the engine: one prompt after the other; of those that wait the one with the lowest rank, then the one
-/// that came first; what has begun is read to its end. Finished jobs of this node set the model right again.
+/// Models the engine as a non-preemptive priority queue with one server: among the waiting prompts the one with the
+/// lowest rank is prefilled next, and among equals the one that arrived first. The reported ends of this node's jobs
+/// correct the model.
 class engine_queue {
 public:
-    /// Jobs of one key are added once; a second time has no effect.
-    void add(const read_job& job);
-    /// The prompt was read by `at`. Seconds by which that is later than in the model; below 0 if it is earlier.
-    double finished(std::uint64_t key, instant at);
-    /// It will not be read.
-    void removed(std::uint64_t key);
-    /// The same for all keys that the test names.
+    /// Adds a job; has no effect if a job with this key is known already.
+    void add(const prefill_job& job);
+    /// Records that the prompt was prefilled by `at`. Returns the seconds by which that is later than in the model;
+    /// negative if it is earlier.
+    double finish(std::uint64_t key, instant at);
+    /// Removes a job that will not be prefilled.
+    void remove(std::uint64_t key);
+    /// Removes all jobs whose keys satisfy `test`.
     template <class Test> void removeIf(Test test)
     {
-        std::erase_if(m_waiting, [&](const read_job& job) { return test(job.key); });
+        std::erase_if(m_waiting, [&](const prefill_job& job) { return test(job.key); });
         if (m_current && test(m_current->job.key))
             m_current.reset();
-        for (auto& job : m_done)
+        for (auto& job : m_completed)
             job.isAwaited &= !test(job.key);
     }
-    /// Lets the model run up to `now`.
+    /// Advances the model to `now`.
     void advance(instant now);
 
-    /// Seconds until a prompt of this rank that comes now is begun.
-    double waitSeconds(read_rank rank, instant now) const;
-    /// Seconds for which an end that should have been reported by `now` is overdue.
-    double overdue(instant now) const;
-    /// Seconds of reading that was done since then or is still to be done, as far as it is known.
-    double readingSince(instant since) const;
-    /// The longest that a late prompt, once begun, can hold up others here.
-    double longestLate() const;
+    /// Seconds until a prompt of this rank that arrives now is started.
+    double waitSeconds(prefill_rank rank, instant now) const;
+    /// The longest time in seconds for which the end of a completed job is overdue at `now`; 0 if none is.
+    double overdueSeconds(instant now) const;
+    /// Seconds of prefill that the engine has done since `since` or still has to do, as far as it is known.
+    double prefillSecondsSince(instant since) const;
+    /// The longest time in seconds for which a late prompt, once started, can delay others here.
+    double longestLateSeconds() const;
     std::size_t size() const { return m_waiting.size() + (m_current ? 1 : 0); }
     void clear();
 
 private:
     struct running_job {
-        read_job job;
-        instant beganAt;
+        prefill_job job;
+        instant startedAt;
     };
-    struct done_job {
+    struct completed_job {
         std::uint64_t key = 0;
         double seconds = 0;
         instant endedAt; // in the model
-        bool isAwaited = false; // its end was not reported, though it will be
+        bool isAwaited = false; // the engine has not reported the end yet
     };
 
-    /// Of a job that is not done in the model; 0 if there is none.
+    /// Prefill seconds of a job that is not completed in the model; 0 if there is none.
     double secondsOf(std::uint64_t key) const;
     bool isKnown(std::uint64_t key) const;
-    /// Seconds until the end of a job that is not done in the model.
+    /// Seconds until the end of a job that is not completed in the model.
     double secondsLeft(std::uint64_t key, instant at) const;
-    void beginNext(instant from, instant now);
+    void startNext(instant from, instant now);
 
-    std::vector<read_job> m_waiting;
+    std::vector<prefill_job> m_waiting;
     std::optional<running_job> m_current;
-    std::vector<done_job> m_done; // of the last seconds; the real end may still be to come
-    instant m_freeAt; // while nothing is read: since when
+    std::vector<completed_job> m_completed; // recent; their actual ends may still be to come
+    instant m_freeAt; // while no job is running: the time at which the engine became idle
 };
 
 }
--- a/libs/serving/include/serving/fleet_table.h
+++ b/libs/serving/include/serving/fleet_table.h
@@ -1,4 +1,4 @@
-// The targets that this node knows, one row each, in columns.
+// Provides the table of the targets that this node knows: one row for each target, stored by column.
 #pragma once
 
 #include "base/ids.h"
@@ -12,44 +12,45 @@
 
 namespace tamarack::serving {
 
-/// A target's load as its own answers told it.
-struct told_load {
+/// The load of a target as its own answers report it.
+struct reported_load {
     instant at;
     int running = 0;
     int waiting = 0;
     int slots = 0;
 };
 
-/// A row keeps its id as long as the target is listed or this node has work there. Rows are then used again.
+/// A row keeps its id as long as the target is listed or this node has requests there. After that the row may be
+/// reused.
 class fleet_table {
 public:
     explicit fleet_table(std::string ownZone);
 
-    /// Adds or changes a target.
-    target_id put(const target_record& record);
-    /// The target is gone: no new work, and the row is freed once this node's work there has ended.
+    /// Adds a target or updates it.
+    target_id upsert(const target_record& record);
+    /// Unlists the target: it gets no new requests, and its row is freed once this node's requests there have ended.
     void remove(std::string_view instance);
     target_id find(std::string_view instance) const;
-    target_id findHash(std::uint32_t hash) const;
+    target_id findByHash(std::uint32_t hash) const;
     std::size_t size() const { return instance.size(); }
     std::size_t countListed() const;
-    /// Changes when a target comes, goes, or takes another role.
+    /// Changes when a target is listed, is unlisted, or changes its role.
     std::uint64_t generation() const { return m_generation; }
 
-    /// Rows of listed targets of a service.
+    /// Rows of the listed targets of a service, in ascending order.
     const std::vector<std::uint32_t>& rowsOf(std::string_view service) const;
     bool isLocal(target_id id) const { return zone[id.value] == m_ownZone; }
-    /// Whether new work may be given to it.
-    bool takesWork(target_id id, instant now) const;
-    /// Requests that the target is thought to hold, from all nodes.
+    /// Whether the target may be given new requests.
+    bool acceptsWork(target_id id, instant now) const;
+    /// The estimated number of requests at the target, from all nodes.
     int running(target_id id) const { return ownRunning[id.value] + peersRunning[id.value]; }
-    void began(target_id id) { ownRunning[id.value] += 1; }
-    void ended(target_id id);
+    void addRunning(target_id id) { ownRunning[id.value] += 1; }
+    void removeRunning(target_id id);
 
-    // Columns, all of one length.
-    std::vector<std::string> instance; // one life of a target
-    std::vector<std::uint32_t> instanceHash; // what peers call it
-    std::vector<std::string> name; // what the target calls itself
+    // Columns, all of the same length.
+    std::vector<std::string> instance; // name and incarnation of the target
+    std::vector<std::uint32_t> instanceHash; // identifies the target in messages between nodes
+    std::vector<std::string> name; // without the incarnation
     std::vector<std::string> service;
     std::vector<std::string> address;
     std::vector<std::string> zone;
@@ -57,11 +58,11 @@
     std::vector<target_role> role;
     std::vector<std::uint8_t> isListed;
     std::vector<std::uint8_t> isDraining;
-    std::vector<instant> blockedUntil; // after failures
-    std::vector<instant> changingUntil; // it is about to take another role, or does so
+    std::vector<instant> blockedUntil; // set after failures
+    std::vector<instant> roleChangeUntil; // a change of role is ordered or in progress
     std::vector<int> ownRunning;
     std::vector<int> peersRunning;
-    std::vector<told_load> told;
+    std::vector<reported_load> reportedLoad;
 
 private:
     target_id addRow(const std::string& name);
@@ -76,7 +77,7 @@
     std::unordered_map<std::string, std::vector<std::uint32_t>> m_byService;
 };
 
-/// The short name of a target between peers.
+/// The hash that identifies an instance in messages between nodes.
 std::uint32_t shortHash(std::string_view instance);
 
 }
--- a/libs/serving/include/serving/peer_load.h
+++ b/libs/serving/include/serving/peer_load.h
@@ -1,4 +1,4 @@
-// How many requests other nodes have at each target, as their heartbeats told it.
+// Tracks how many requests other nodes have at each target, from their heartbeats.
 #pragma once
 
 #include "serving/fleet_table.h"
@@ -9,42 +9,44 @@
 
 namespace tamarack::serving {
 
-/// One peer's requests at one target.
+/// The requests of one node at one target.
 struct load_entry {
-    std::uint32_t target = 0; ///< shortHash() of its instance
+    std::uint32_t target = 0; ///< shortHash() of the target's instance
     std::uint16_t running = 0;
 };
 
-/// Sums the peers' requests into the fleet's columns, by what each heartbeat changes. A peer that fell silent is
-/// forgotten: what it had under way ends soon, and a node that is gone must not keep a target looking busy.
+/// Adds the peers' requests to the fleet table, as differences between successive heartbeats. Entries of a peer that
+/// has been silent for the time-to-live are removed: its requests end soon, and a node that is gone must not keep a
+/// target looking busy.
 class peer_load {
 public:
-    peer_load(fleet_table& fleet, duration life);
+    peer_load(fleet_table& fleet, duration timeToLive);
 
-    void heard(const std::string& peer, const std::vector<load_entry>& entries, instant now);
-    void setLife(duration life) { m_life = life; }
-    /// Forgets peers that are silent; looks seldom.
+    void update(const std::string& peer, const std::vector<load_entry>& entries, instant now);
+    void setTimeToLive(duration timeToLive) { m_timeToLive = timeToLive; }
+    /// Removes peers whose time-to-live has passed; rate-limited.
     void refresh(instant now);
-    /// What this node has under way, for its own heartbeat.
-    std::vector<load_entry> own() const;
+    /// The in-flight requests of this node, for its own heartbeat.
+    std::vector<load_entry> localLoad() const;
 
 private:
-    /// What a peer's entry has added to a row; it is taken off again only while the row is the same target's.
+    /// What an entry of a peer has added to a row. It is subtracted again only if the row still belongs to the same
+    /// target.
     struct added_load {
         target_id row;
         load_entry entry;
     };
-    struct told_load_of_peer {
+    struct peer_report {
         instant at;
         std::vector<added_load> added;
     };
 
-    void takeOff(const told_load_of_peer& told);
+    void subtract(const peer_report& report);
 
     fleet_table& m_fleet;
-    duration m_life;
-    std::map<std::string, told_load_of_peer> m_byPeer;
-    instant m_nextLook; // not before: it goes over all peers
+    duration m_timeToLive;
+    std::map<std::string, peer_report> m_byPeer;
+    instant m_nextRefresh; // rate limit, as a refresh scans all peers
 };
 
 }
--- a/libs/serving/include/serving/placement.h
+++ b/libs/serving/include/serving/placement.h
@@ -1,12 +1,13 @@
-// Chooses targets for requests: which one, and for prompts whether one engine does all or two share the work.
+// Chooses targets for requests, and decides for prompts whether one engine does prefill and decode or two engines share
+// them.
 #pragma once
 
 #include "base/random_source.h"
 #include "serving/engine_pace.h"
 #include "serving/fleet_table.h"
-#include "serving/kept_connections.h"
+#include "serving/idle_connections.h"
+#include "serving/prefill_queues.h"
 #include "serving/prompt_cache_map.h"
-#include "serving/read_queues.h"
 #include "serving/stream_pauses.h"
 #include "serving/target_health.h"
 
@@ -14,97 +15,101 @@
 
 namespace tamarack::serving {
 
-/// What a choice has to know of a request.
-struct placement_need {
+/// What a choice needs to know about a request.
+struct placement_query {
     const serving_request& request;
-    target_id avoid; ///< failed just now; taken only if there is no other
-    double secondsToAim = 0; ///< left of the time in which an answer is fast
-    bool mayReadApart = true; ///< else one engine has to do all
+    target_id avoid; ///< the target that has just failed; used only if there is no other
+    double secondsUntilAim = 0; ///< time left in which the answer counts as fast
+    bool maySplitPrefill = true; ///< whether prefill and decode may run at different engines
 };
 
 struct target_choice {
-    target_id target; ///< invalid if no target takes the request now
+    target_id target; ///< invalid if no target accepts the request now
     attempt_stage stage = attempt_stage::whole;
-    read_rank rank = read_rank::tiny; ///< of its prompt in the engine's queue
-    double work = 0; ///< tokens of prompt work that this puts on the target
-    double waitSeconds = 0; ///< for what the engine reads before it
-    double transferSeconds = 0; ///< for what the target fetches from another one before
-    double seconds = 0; ///< predicted, until the stage's answer begins
-    /// Where the target gets the prompt's beginning if it does not keep it; invalid: nowhere.
+    prefill_rank rank = prefill_rank::tiny; ///< of the prompt in the engine's queue
+    double work = 0; ///< prefill work that this adds to the target, in tokens
+    double waitSeconds = 0; ///< predicted wait for the jobs ahead in the engine's queue
+    double transferSeconds = 0; ///< predicted time to fetch the prefix or the KV cache from another engine
+    double seconds = 0; ///< predicted time until the stage's answer begins
+    /// The engine from which the target fetches the prompt's prefix if it does not have it cached; invalid if there is
+    /// none.
     target_id fetchFrom;
-    bool isFetching = false; ///< it should not keep it
+    bool isFetching = false; ///< whether the target is expected to need the fetch
 };
 
-/// What placement reads; outlives it.
+/// The state that placement reads; must outlive it.
 struct placement_inputs {
     const fleet_table& fleet;
     const engine_pace& pace;
     const prompt_cache_map& caches;
     const target_health& health;
-    read_queues& queues;
-    const kept_connections& connections;
+    prefill_queues& queues;
+    const idle_connections& connections;
 };
 
 class placement {
 public:
     placement(placement_inputs inputs, std::uint64_t seed);
 
-    /// Nodes that share each target's connections, this one included.
+    /// Sets the number of nodes, this one included, that share the connections of each target.
     void setKnownNodes(int nodes) { m_knownNodes = nodes < 1 ? 1 : nodes; }
-    /// The first target of a request, or the next after a failure.
-    target_choice chooseFirst(const placement_need& need, instant now);
-    /// The engine that writes the answer of a prompt that `source` has read.
-    target_choice chooseDecode(const placement_need& need, target_id source, instant now);
-    /// Whether the service has any target that may take work soon.
+    /// Chooses the first target of a request, or the next one after a failure.
+    target_choice chooseFirst(const placement_query& need, instant now);
+    /// Chooses the engine that decodes the answer of a prompt that `source` has prefilled.
+    target_choice chooseDecode(const placement_query& need, target_id source, instant now);
+    /// Whether the service has any listed targets.
     bool hasTargets(const std::string& service) const { return !m_inputs.fleet.rowsOf(service).empty(); }
 
 private:
-    /// What an engine has of a prompt's beginning.
-    struct kept_beginning {
+    /// The part of a prompt's prefix that an engine has cached.
+    struct cached_prefix {
         target_id engine;
         std::int64_t tokens = 0;
     };
 
-    /// Targets that take new work now; those to avoid only if there are no others.
-    const std::vector<std::uint32_t>& candidates(const placement_need& need, instant now);
-    /// Whether the target is of the kind that its service consists of.
-    bool isOfKind(std::uint32_t row) const;
-    bool hasRoom(target_id id) const;
+    /// The targets that accept new requests now; the one to avoid only if there is no other.
+    const std::vector<std::uint32_t>& candidates(const placement_query& need, instant now);
+    /// Whether the target's role fits its service: engines for a service of engines, plain targets for others.
+    bool matchesServiceKind(std::uint32_t row) const;
+    bool hasCapacity(target_id id) const;
     target_choice choosePlain(instant now);
-    /// Requests of peers at a candidate, on average.
+    /// The mean number of peers' requests at a candidate.
     double meanPeersRunning() const;
-    target_choice chooseEngine(const placement_need& need, instant now);
-    /// Seconds of waiting that are as bad as the slots taken at an engine.
-    double crowdingSeconds(target_id id) const;
-    /// Seconds of waiting that are as bad as making a new connection to the target, if it takes one.
-    double connectingSeconds(target_id id, instant now) const;
-    /// Share of the target's slots that would be taken with one more request.
-    double takenShare(target_id id) const;
-    /// Seconds of waiting that are as bad as the pauses of streams if an engine that writes reads so many tokens.
-    double pauseSeconds(target_id id, double work, instant now);
-    /// Fills m_keepers with the engines that have some of the prompt's beginning.
-    void findKeepers(const placement_need& need);
-    /// The one from which `id` had best fetch the beginning; no tokens if there is none.
-    kept_beginning bestKeeperFor(target_id id) const;
-    /// What it takes to read the prompt at an engine, its beginning fetched where that is better.
-    target_choice reading(target_id id, const placement_need& need, instant now) const;
+    target_choice chooseEngine(const placement_query& need, instant now);
+    /// The cost of the slots in use at an engine, in equivalent seconds of waiting.
+    double occupancyPenaltySeconds(target_id id) const;
+    /// The cost of a new connection to the target, in equivalent seconds of waiting; 0 if an idle one exists.
+    double connectionPenaltySeconds(target_id id, instant now) const;
+    /// The share of the target's slots in use with one more request.
+    double occupancyShare(target_id id) const;
+    /// The cost of the pauses in the streams of a decoding engine if it prefills `work` tokens, in equivalent seconds
+    /// of waiting.
+    double pausePenaltySeconds(target_id id, double work, instant now);
+    /// Fills m_prefixHolders with the engines that have some of the prompt's prefix cached.
+    void findPrefixHolders(const placement_query& need);
+    /// The engine from which `id` should fetch the prefix; 0 tokens if there is none.
+    cached_prefix bestHolderFor(target_id id) const;
+    /// Predicts the prefill of the prompt at an engine, with its prefix fetched from another engine where that saves
+    /// work.
+    target_choice estimatePrefill(target_id id, const placement_query& need, instant now) const;
     double transferTime(std::int64_t tokens, target_id from, target_id to) const;
-    /// Seconds from the end of reading at `reader` to the first event at another engine.
-    double takeOver(target_id reader, const placement_need& need) const;
-    /// Seconds for which a late request can hold up others, beyond those for which late ones do so there already.
-    double newBlocking(const target_choice& choice, instant now) const;
-    double lateTakesSlot(target_id id) const;
-    /// Of the prompt, that the engine does not keep.
-    double missingShare(target_id id, const serving_request& request) const;
+    /// Seconds from the end of the prefill to the first event at another engine.
+    double handoverSeconds(target_id prefillEngine, const placement_query& need) const;
+    /// Seconds for which a late request can delay others at the target, beyond those for which late requests there do
+    /// so already.
+    double addedBlockingSeconds(const target_choice& choice, instant now) const;
+    double lateSlotPenaltySeconds(target_id id) const;
+    /// The share of the prompt that the engine has not cached.
+    double uncachedShare(target_id id, const serving_request& request) const;
 
     placement_inputs m_inputs;
     stream_pauses m_pauses;
     random_source m_random;
     int m_knownNodes = 1;
-    const service_profile* m_profile = nullptr; // of the service that is chosen for; may be null
-    // Kept between calls to avoid allocation.
+    const service_profile* m_profile = nullptr; // of the service to choose for; may be null
+    // Buffers reused between calls to avoid allocation.
     std::vector<std::uint32_t> m_candidates;
-    std::vector<kept_beginning> m_keepers;
+    std::vector<cached_prefix> m_prefixHolders;
 };
 
 }
--- a/libs/serving/include/serving/prompt_cache_map.h
+++ b/libs/serving/include/serving/prompt_cache_map.h
@@ -1,5 +1,5 @@
-// Which parts of prompts each engine keeps in its memory, as its cache events tell it and as this node's own requests
-// make likely.
+// Tracks which parts of prompts each engine has in its KV cache, from the engine's cache events and from the requests
+// that the nodes send to it.
 #pragma once
 
 #include "base/ids.h"
@@ -11,49 +11,50 @@
 
 namespace tamarack::serving {
 
-/// One event of an engine's cache.
+/// One event of an engine's KV cache.
 struct cache_event {
     std::uint64_t part = 0;
-    std::int64_t tokens = 0; ///< kept after the event; 0: the part is gone
+    std::int64_t tokens = 0; ///< cached after the event; 0: the part was evicted
 };
 
-/// Parts below `fewestTokens` are not followed: reading them again takes some milliseconds, and there are very many.
-/// Events come late and a few never come, so what is thought here can be wrong either way.
+/// Parts shorter than `minPartTokens` are not tracked: there are very many of them, and prefilling one again takes only
+/// some milliseconds. Events arrive late and a few are lost, so the map can be wrong in both directions.
 class prompt_cache_map {
 public:
-    static constexpr std::int64_t fewestTokens = 512;
-
-    /// This node has sent the prompt there, and it will be read before what is sent after it.
-    void sent(target_id engine, const prompt& text);
-    /// The longest shared part of the prompt that the engine is not thought to keep; no tokens if there is none.
-    prompt_part longestMissing(target_id engine, const prompt& text) const;
-    /// A peer has sent a prompt with this part there.
-    void peerSent(target_id engine, const prompt_part& part);
-    /// The engine has read the prompt.
-    void wasRead(target_id engine, const prompt& text);
-    void told(target_id engine, const std::vector<cache_event>& events);
-    /// The engine has just these parts.
-    void listed(target_id engine, const std::vector<cache_event>& parts);
-    /// The parts that the engine has now.
-    std::vector<prompt_part> partsThere(target_id engine) const;
-    /// Tokens of the prompt's beginning that need not be read again; parts count only if all before them are kept.
-    std::int64_t keptTokens(target_id engine, const prompt& text) const;
-    /// The same for what the engine has now, so that another one can fetch it.
+    static constexpr std::int64_t minPartTokens = 512;
+
+    /// Records that this node has sent the prompt to the engine, which will prefill it before any prompt sent later.
+    void addPendingPrompt(target_id engine, const prompt& text);
+    /// The longest shared part of the prompt that the engine is not expected to have; 0 tokens if there is none.
+    prompt_part longestUncachedPart(target_id engine, const prompt& text) const;
+    /// Records that a peer has sent a prompt with this part to the engine.
+    void addPendingPart(target_id engine, const prompt_part& part);
+    /// Records that the engine has prefilled the prompt.
+    void markCached(target_id engine, const prompt& text);
+    void applyEvents(target_id engine, const std::vector<cache_event>& events);
+    /// Replaces the cached parts of the engine by `parts`; pending parts stay.
+    void replaceParts(target_id engine, const std::vector<cache_event>& parts);
+    /// The parts that the engine has cached now.
+    std::vector<prompt_part> cachedParts(target_id engine) const;
+    /// The length in tokens of the prompt's prefix that the engine need not prefill again, pending parts included. A
+    /// part counts only if all parts before it do.
+    std::int64_t reusableTokens(target_id engine, const prompt& text) const;
+    /// The same without pending parts: the length of the prefix that another engine can fetch now.
     std::int64_t fetchableTokens(target_id engine, const prompt& text) const;
-    /// The engine has lost its memory, or the row is another engine's now.
+    /// Removes all parts, because the engine has lost its cache or the row now belongs to another engine.
     void forget(target_id engine);
 
 private:
-    struct kept_part {
+    struct part_state {
         std::int64_t tokens = 0;
-        bool isThere = false; // else it is still to be read
+        bool isCached = false; // false: pending, its prefill has not ended yet
     };
-    using kept_parts = std::unordered_map<std::uint64_t, kept_part>;
+    using part_map = std::unordered_map<std::uint64_t, part_state>;
 
-    kept_parts& partsOf(target_id engine);
-    std::int64_t countTokens(target_id engine, const prompt& text, bool onlyThere) const;
+    part_map& partsOf(target_id engine);
+    std::int64_t countTokens(target_id engine, const prompt& text, bool onlyCached) const;
 
-    std::vector<kept_parts> m_byRow;
+    std::vector<part_map> m_byRow;
 };
 
 }
--- a/libs/serving/include/serving/target_health.h
+++ b/libs/serving/include/serving/target_health.h
@@ -1,5 +1,5 @@
-// Judges targets by what attempts saw, this node's own and its peers', since a target's word on its health can be false
-// either way.
+// Judges the health of targets by the outcomes of attempts, this node's own and its peers', because what a target
+// reports about its own health can be wrong in both directions.
 #pragma once
 
 #include "serving/fleet_table.h"
@@ -8,72 +8,74 @@
 
 namespace tamarack::serving {
 
-/// A target is left for a while, or used again.
+/// A target is blocked for a while, or is in use again.
 struct health_change {
     target_id target;
     std::string_view reason;
     int failuresInARow = 0;
-    duration blockedFor = duration::zero(); ///< zero: it is used again
+    duration blockedFor = duration::zero(); ///< zero: it is in use again
 };
 
-/// What a node's attempts at a target came to since it told last.
-struct health_news {
-    std::uint32_t target = 0; ///< shortHash() of its instance
-    std::uint16_t answers = 0; ///< of any kind
-    std::uint16_t failures = 0; ///< of them, in tenths
+/// The outcomes of a node's attempts at a target since its last report.
+struct health_report {
+    std::uint32_t target = 0; ///< shortHash() of the target's instance
+    std::uint16_t answers = 0; ///< outcomes of any kind
+    std::uint16_t failures = 0; ///< the failures among them, in tenths
 };
 
-/// Blocks a target for a while after failures in a row; the time doubles while the first attempt after it fails again.
-/// Besides it keeps the share of attempts that failed lately, by which placement prefers others.
+/// Blocks a target for a while after several failures in a row; the time doubles as long as the first attempt after it
+/// fails again. It also keeps the share of recent attempts that failed, which placement uses to prefer other targets.
 class target_health {
 public:
     explicit target_health(fleet_table& fleet);
 
-    void succeeded(target_id id, instant now);
-    /// It could not be connected to, or broke off.
-    void failed(target_id id, instant now);
-    /// It has no room; asked again soon.
-    void rejected(target_id id, instant now);
-    /// Another target answers at its address; the list will tell.
-    void misdirected(target_id id, instant now);
-    /// It answered with a failure of its own. No reason to leave it, but one to prefer others.
-    void answeredFailure(target_id id, instant now);
-    /// What a peer's attempts came to.
-    void told(target_id id, const health_news& news, instant now);
-    /// For the peers: targets that have failed lately, with what came since the last call.
-    std::vector<health_news> takeNews(instant now);
-    /// Share of the attempts at it that failed lately, those of peers included; 0.2 after one of four.
+    void recordSuccess(target_id id, instant now);
+    /// Records that the connection to the target failed or broke off.
+    void recordFailure(target_id id, instant now);
+    /// Records that the target has no capacity; it is blocked only briefly.
+    void recordRejection(target_id id, instant now);
+    /// Records that another instance answers at the target's address. The target list will report the new instance.
+    void recordMisdirection(target_id id, instant now);
+    /// Records that the target answered with a failure of its own. This does not block it, but placement prefers
+    /// others.
+    void recordFailureAnswer(target_id id, instant now);
+    /// Adds the outcomes that a peer reports.
+    void applyPeerReport(target_id id, const health_report& report, instant now);
+    /// Returns reports for the peers: the outcomes since the last call at targets that have failed recently.
+    std::vector<health_report> takeReports(instant now);
+    /// The share of recent attempts at the target that failed, those of peers included. After one failure in one
+    /// attempt it is 0.2.
     double failureShare(target_id id, instant now) const;
-    /// The row is another target's now.
+    /// Clears the row, because it now belongs to another target.
     void forget(target_id id);
     /// Changes since the last call, for the log.
     std::vector<health_change> takeChanges();
 
 private:
-    /// Attempts and failures, of which half is forgotten in each `forgetHalf`.
+    /// Numbers of attempts and failures, which decay with the half-life `evidenceHalfLife`.
     struct evidence {
         double answers = 0;
         double failures = 0;
         instant at;
     };
-    /// Not told to peers yet.
-    struct untold_counts {
+    /// Outcomes that are not reported to peers yet.
+    struct unreported_counts {
         int answers = 0;
         double failures = 0;
     };
 
     void reserveRow(std::size_t row);
-    static evidence agedTo(const evidence& item, instant now);
-    void count(target_id id, double failure, instant now);
+    static evidence decayedTo(const evidence& item, instant now);
+    void recordOutcome(target_id id, double failure, instant now);
     void add(target_id id, double answers, double failures, instant now);
     void block(target_id id, instant now, duration length, std::string_view reason);
 
     fleet_table& m_fleet;
-    // Columns by row of the fleet.
+    // Columns, by row of the fleet.
     std::vector<int> m_failuresInARow;
     std::vector<evidence> m_evidence;
-    std::vector<untold_counts> m_untold;
-    std::vector<std::uint8_t> m_isLeft; // a block was told, and no success since
+    std::vector<unreported_counts> m_unreported;
+    std::vector<std::uint8_t> m_isAvoided; // blocked, and no success since
     std::vector<health_change> m_changes;
 };
 
--- a/libs/serving/src/dispatch_outcomes.cpp
+++ b/libs/serving/src/dispatch_outcomes.cpp
@@ -10,9 +10,9 @@
     auto& current = m_book.current[row];
     if (!current.id.isValid())
         return;
-    if (current.isReading)
-        m_queues.removed(current.target, current.readKey);
-    m_fleet.ended(current.target);
+    if (current.isPrefilling)
+        m_queues.cancel(current.target, current.prefillKey);
+    m_fleet.removeRunning(current.target);
     current = {};
     m_book.phase[row] = request_phase::waiting;
 }
@@ -101,7 +101,7 @@
     releaseAttempt(row);
     switch (result) {
     case attempt_result::unreached:
-        m_health.failed(attempt.target, now);
+        m_health.recordFailure(attempt.target, now);
         // It never arrived. A prompt that was to be read apart may still be: at an engine that writes, reading it would
         // make some twenty streams pause.
         if (couldRun) {
@@ -114,23 +114,23 @@
     case attempt_result::rejected:
     case attempt_result::misdirected:
         if (result == attempt_result::rejected)
-            m_health.rejected(attempt.target, now);
+            m_health.recordRejection(attempt.target, now);
         else
-            m_health.misdirected(attempt.target, now);
+            m_health.recordMisdirection(attempt.target, now);
         if (!couldRun && progress.sends == 0)
             countSend(row, now); // only a prefill that was accepted is free
         releaseCache(row, out); // gone, or held by an engine whose importer has no room
         return retryOrEnd(row, true, error_kind::overloaded, now, out);
     case attempt_result::failure_answer:
-        m_health.answeredFailure(attempt.target, now);
+        m_health.recordFailureAnswer(attempt.target, now);
         progress.mayHaveRun |= couldRun;
         progress.hasFailureAnswer = true;
         if (isRepeatable && mayResend(row, now) && tryStart(row, now, out))
             return;
-        out.push_back(pass_failure_on { m_book.idOf(row), attempt.id });
+        out.push_back(forward_failure { m_book.idOf(row), attempt.id });
         return remove(row, out);
     case attempt_result::broken:
-        m_health.failed(attempt.target, now);
+        m_health.recordFailure(attempt.target, now);
         progress.mayHaveRun |= couldRun;
         if (attempt.isFirstPrefill)
             countArrival(row, now); // nobody knows whether it was accepted, and only then it is free
@@ -139,7 +139,7 @@
             return endWithFailure(row, error_kind::outcome_unknown, out);
         return retryOrEnd(row, true, error_kind::attempt_timeout, now, out);
     case attempt_result::cut:
-        m_health.failed(attempt.target, now);
+        m_health.recordFailure(attempt.target, now);
         progress.mayHaveRun = true;
         releaseCache(row, out);
         if (!isRepeatable)
@@ -152,7 +152,7 @@
 
 void dispatcher::succeeded(std::size_t row, instant now)
 {
-    m_health.succeeded(m_book.current[row].target, now);
+    m_health.recordSuccess(m_book.current[row].target, now);
     releaseAttempt(row);
     m_book.progress[row].cache = {}; // taken
     m_book.remove(m_book.idOf(row));
@@ -161,7 +161,7 @@
 void dispatcher::prefilled(std::size_t row, const std::string& cacheName, instant now, command_list& out)
 {
     const auto attempt = m_book.current[row];
-    m_health.succeeded(attempt.target, now);
+    m_health.recordSuccess(attempt.target, now);
     endReading(row, now, true);
     releaseAttempt(row);
     m_book.progress[row].cache = { attempt.target, cacheName };
--- a/libs/serving/src/dispatcher.cpp
+++ b/libs/serving/src/dispatcher.cpp
@@ -62,7 +62,7 @@
 void dispatcher::targetListed(const target_record& record)
 {
     const bool isNew = !m_fleet.find(record.instance()).isValid();
-    const target_id id = m_fleet.put(record);
+    const target_id id = m_fleet.upsert(record);
     if (!isNew)
         return;
     m_pace.forget(id);
@@ -76,23 +76,23 @@
 
 void dispatcher::peerTold(const std::string& peer, const std::vector<load_entry>& load, instant now)
 {
-    m_peers.heard(peer, load, now);
+    m_peers.update(peer, load, now);
 }
 
-void dispatcher::peerSent(std::uint32_t peer, const std::vector<told_job>& jobs, bool isAll, instant now)
+void dispatcher::peerSent(std::uint32_t peer, const std::vector<prefill_report>& jobs, bool isAll, instant now)
 {
-    m_queues.told(peer, jobs, isAll, now);
+    m_queues.applyPeerReports(peer, jobs, isAll, now);
     for (const auto& job : jobs) {
-        if (const target_id engine = m_fleet.findHash(job.target); engine.isValid())
-            m_caches.peerSent(engine, { job.part, job.partTokens });
+        if (const target_id engine = m_fleet.findByHash(job.target); engine.isValid())
+            m_caches.addPendingPart(engine, { job.part, job.partTokens });
     }
 }
 
-void dispatcher::peerSaw(const std::vector<health_news>& news, instant now)
+void dispatcher::peerSaw(const std::vector<health_report>& news, instant now)
 {
     for (const auto& item : news) {
-        if (const target_id target = m_fleet.findHash(item.target); target.isValid())
-            m_health.told(target, item, now);
+        if (const target_id target = m_fleet.findByHash(item.target); target.isValid())
+            m_health.applyPeerReport(target, item, now);
     }
 }
 
@@ -108,13 +108,13 @@
     return m_allowances.try_emplace(service, m_retryBound, m_startedAt).first->second;
 }
 
-placement_need dispatcher::needOf(std::size_t row, instant now) const
+placement_query dispatcher::needOf(std::size_t row, instant now) const
 {
     const auto& times = m_book.times[row];
     const auto& progress = m_book.progress[row];
     // Only the first reading of a prompt is free; a further one and the answer after it are two sends.
-    const bool mayReadApart = !progress.hasTriedPrefill && progress.sends == 0;
-    return { m_book.request[row], progress.avoid, seconds(times.aimAt - now), mayReadApart };
+    const bool maySplitPrefill = !progress.hasTriedPrefill && progress.sends == 0;
+    return { m_book.request[row], progress.avoid, seconds(times.aimAt - now), maySplitPrefill };
 }
 
 request_id dispatcher::arrive(serving_request request, instant now, command_list& out)
@@ -166,7 +166,7 @@
     auto choice = m_placement.chooseFirst(needOf(row, now), now);
     if (!choice.target.isValid())
         return false;
-    const auto timeLeft = m_book.times[row].answerBy - now;
+    const auto timeLeft = m_book.times[row].answerDeadline - now;
     if (fromSeconds(choice.seconds) + shortestUsefulTime > timeLeft) {
         refuse(row, hasRunOrMayRun(row) ? error_kind::attempt_timeout : error_kind::deadline_unreachable,
             returnTime(row, now), out);
@@ -214,27 +214,27 @@
     current.stage = choice.stage;
     current.isFirstPrefill = isFreePrefill;
     current.work = choice.work;
-    current.otherSeconds = choice.waitSeconds + choice.transferSeconds;
+    current.waitAndTransferSeconds = choice.waitSeconds + choice.transferSeconds;
     current.sentAt = now;
     if (const auto* service = request.configuration->findService(request.service); service && service->engine)
         current.tokensPerEvent = service->engine->tokensPerEvent;
     if (choice.work > 0) {
-        current.isReading = true;
-        const bool isKept = request.text && choice.rank != read_rank::late;
-        const auto newPart = isKept ? m_caches.longestMissing(choice.target, *request.text) : prompt_part {};
-        current.readKey = m_queues.add(choice.target, choice.rank, choice.work, newPart, now);
+        current.isPrefilling = true;
+        const bool isKept = request.text && choice.rank != prefill_rank::late;
+        const auto newPart = isKept ? m_caches.longestUncachedPart(choice.target, *request.text) : prompt_part {};
+        current.prefillKey = m_queues.add(choice.target, choice.rank, choice.work, newPart, now);
     }
     duration patience = fromSeconds(stallFactor * choice.seconds) + stallSlack + request.route->aim;
     if (m_fleet.role[choice.target.value] == target_role::plain)
         patience = fromSeconds(plainStallShareOfAim * seconds(request.route->aim));
-    current.stallsAt = now + patience;
-    m_fleet.began(choice.target);
+    current.silenceDeadline = now + patience;
+    m_fleet.addRunning(choice.target);
     if (!progress.hasFailed)
-        m_connections.taken(choice.target, now);
-    if (choice.stage == attempt_stage::prefill && choice.rank >= read_rank::medium)
+        m_connections.take(choice.target, now);
+    if (choice.stage == attempt_stage::prefill && choice.rank >= prefill_rank::medium)
         m_readWait += readWaitWeight * (choice.waitSeconds - m_readWait);
-    if (request.text && choice.rank != read_rank::late)
-        m_caches.sent(choice.target, *request.text);
+    if (request.text && choice.rank != prefill_rank::late)
+        m_caches.addPendingPrompt(choice.target, *request.text);
     start_attempt command;
     command.request = m_book.idOf(row);
     command.attempt = current.id;
@@ -243,8 +243,8 @@
     if (choice.stage == attempt_stage::decode)
         command.cache = progress.cache;
     command.fetchFrom = choice.fetchFrom;
-    command.timeLeft = m_book.times[row].answerBy - now;
-    command.isLate = choice.rank == read_rank::late;
+    command.timeLeft = m_book.times[row].answerDeadline - now;
+    command.isLate = choice.rank == prefill_rank::late;
     command.urgency = urgencyOf(choice);
     if (!progress.hasFailed)
         command.longestIdle = longestIdle;
@@ -266,25 +266,25 @@
         return;
     const auto row = static_cast<std::size_t>(m_book.row(request));
     auto& current = m_book.current[row];
-    if (current.hasBegun || current.stage == attempt_stage::prefill)
+    if (current.hasStartedAnswering || current.stage == attempt_stage::prefill)
         return;
-    current.hasBegun = true;
+    current.hasStartedAnswering = true;
     if (current.stage == attempt_stage::decode)
-        m_pace.imported(current.target, current.otherSeconds, now - current.sentAt);
+        m_pace.recordImport(current.target, current.waitAndTransferSeconds, now - current.sentAt);
     endReading(row, now, true);
 }
 
 void dispatcher::endReading(std::size_t row, instant now, bool wasRead)
 {
     auto& current = m_book.current[row];
-    if (!std::exchange(current.isReading, false))
+    if (!std::exchange(current.isPrefilling, false))
         return;
     if (!wasRead)
-        return m_queues.removed(current.target, current.readKey);
-    m_queues.finished(current.target, current.readKey, now);
-    m_pace.read(current.target, current.work, current.otherSeconds, now - current.sentAt, now);
+        return m_queues.cancel(current.target, current.prefillKey);
+    m_queues.finish(current.target, current.prefillKey, now);
+    m_pace.recordPrefill(current.target, current.work, current.waitAndTransferSeconds, now - current.sentAt, now);
     if (const auto& text = m_book.request[row].text)
-        m_caches.wasRead(current.target, *text);
+        m_caches.markCached(current.target, *text);
 }
 
 void dispatcher::streamed(request_id request, attempt_id attempt, instant now)
@@ -294,10 +294,10 @@
     const auto row = static_cast<std::size_t>(m_book.row(request));
     auto& current = m_book.current[row];
     if (current.lastEventAt != instant() && current.tokensPerEvent > 0)
-        m_pace.wrote(current.target, current.tokensPerEvent, now - current.lastEventAt);
+        m_pace.recordStreamEvent(current.target, current.tokensPerEvent, now - current.lastEventAt);
     current.lastEventAt = now;
     // Callers leave a stream that pauses for too long; one that can go on elsewhere is moved before that.
-    current.stallsAt = now + std::max(longestPause, pauseFactor * m_book.request[row].route->gapAim);
+    current.silenceDeadline = now + std::max(longestPause, pauseFactor * m_book.request[row].route->gapAim);
 }
 
 void dispatcher::started(request_id request, attempt_id attempt)
@@ -341,11 +341,11 @@
 void dispatcher::checkTimes(std::size_t row, instant now, command_list& out)
 {
     const auto& current = m_book.current[row];
-    if (now >= m_book.times[row].answerBy)
+    if (now >= m_book.times[row].answerDeadline)
         return refuse(row, hasRunOrMayRun(row) ? error_kind::attempt_timeout : error_kind::deadline_unreachable,
             duration::zero(), out);
-    const bool isSilent = !current.hasBegun || current.lastEventAt != instant();
-    if (!current.id.isValid() || !isSilent || now < current.stallsAt)
+    const bool isSilent = !current.hasStartedAnswering || current.lastEventAt != instant();
+    if (!current.id.isValid() || !isSilent || now < current.silenceDeadline)
         return;
     const bool couldRun = current.stage != attempt_stage::prefill;
     if (couldRun && (!m_book.request[row].route->isRepeatable || !mayResend(row, now)))
--- a/libs/serving/src/fleet_table.cpp
+++ b/libs/serving/src/fleet_table.cpp
@@ -1,4 +1,4 @@
-// Rows of targets.
+// Implements the table of targets.
 #include "serving/fleet_table.h"
 
 #include "base/contract.h"
@@ -18,9 +18,9 @@
 void fleet_table::reset(std::size_t row)
 {
     isListed[row] = isDraining[row] = 0;
-    blockedUntil[row] = changingUntil[row] = {};
+    blockedUntil[row] = roleChangeUntil[row] = {};
     ownRunning[row] = peersRunning[row] = 0;
-    told[row] = {};
+    reportedLoad[row] = {};
 }
 
 target_id fleet_table::addRow(const std::string& newInstance)
@@ -45,14 +45,14 @@
     isListed.push_back(0);
     isDraining.push_back(0);
     blockedUntil.emplace_back();
-    changingUntil.emplace_back();
+    roleChangeUntil.emplace_back();
     ownRunning.push_back(0);
     peersRunning.push_back(0);
-    told.emplace_back();
+    reportedLoad.emplace_back();
     return { static_cast<std::uint32_t>(size() - 1) };
 }
 
-target_id fleet_table::put(const target_record& record)
+target_id fleet_table::upsert(const target_record& record)
 {
     const auto key = record.instance();
     const auto known = m_byInstance.find(key);
@@ -69,7 +69,7 @@
     zone[row] = record.availabilityZone;
     slots[row] = std::max(1, record.slots);
     if (role[row] != record.role) {
-        changingUntil[row] = {};
+        roleChangeUntil[row] = {};
         ++m_generation;
     }
     role[row] = record.role;
@@ -86,7 +86,8 @@
     unindex(id.value);
 }
 
-// Rows of a service stay in order, so that all nodes that were told the same look at them alike.
+// The rows of a service are kept in ascending order, so that all nodes with the same records visit them in the same
+// order.
 void fleet_table::index(std::uint32_t row)
 {
     if (isListed[row])
@@ -118,7 +119,7 @@
     return found == m_byInstance.end() ? target_id() : target_id { found->second };
 }
 
-target_id fleet_table::findHash(std::uint32_t hash) const
+target_id fleet_table::findByHash(std::uint32_t hash) const
 {
     const auto found = m_byHash.find(hash);
     return found == m_byHash.end() ? target_id() : target_id { found->second };
@@ -131,13 +132,13 @@
     return found == m_byService.end() ? none : found->second;
 }
 
-bool fleet_table::takesWork(target_id id, instant now) const
+bool fleet_table::acceptsWork(target_id id, instant now) const
 {
     const auto row = id.value;
-    return isListed[row] && !isDraining[row] && now >= blockedUntil[row] && now >= changingUntil[row];
+    return isListed[row] && !isDraining[row] && now >= blockedUntil[row] && now >= roleChangeUntil[row];
 }
 
-void fleet_table::ended(target_id id)
+void fleet_table::removeRunning(target_id id)
 {
     TAMARACK_ASSERT(ownRunning[id.value] > 0, "own work is counted once up and once down");
     ownRunning[id.value] -= 1;
--- a/libs/serving/src/placement.cpp
+++ b/libs/serving/src/placement.cpp
@@ -1,4 +1,4 @@
-// Costs and choices.
+// Implements the cost model of placement. Costs are in equivalent seconds of waiting, or in slots at plain targets.
 #include "serving/placement.h"
 
 #include <algorithm>
@@ -9,70 +9,71 @@
 
 namespace {
 
-    /// What the move costs beyond its time, as seconds of waiting that are worth as much: links are shared.
-    constexpr double movePenaltySeconds = 0.01;
-    /// Reading at an engine that writes slows all streams there: seconds of waiting that are as bad as a second of
-    /// reading where all slots are taken. In the turn of small prompts they otherwise fill the writers, whose streams
-    /// then take three times as long and hold their slots. Played on the users' four fleets with 1.25 times the small
-    /// prompts, without it and a move at 0.03, and with both: grown Ahnenhaus 0.850 and 0.871, the others within 0.007;
-    /// at the usual load grown Ahnenhaus 0.903 and 0.912, the others within 0.004.
+    /// The cost of a handover from prefill to decode beyond its time, because links are shared.
+    constexpr double handoverPenaltySeconds = 0.01;
+    /// A prefill at a decoding engine slows all streams there. This is the cost of a second of prefill where all slots
+    /// are taken. Without it phases with many small prompts fill the decoding engines, whose streams then take three
+    /// times as long and hold their slots. In simulations of four fleets with 1.25 times the small prompts, one fleet
+    /// earned 0.850 of its requests' value without it and with a handover penalty of 0.03, and 0.871 with the present
+    /// values; at the usual load it earned 0.903 and 0.912. The other fleets differed by at most 0.007, and by 0.004 at
+    /// the usual load.
     constexpr double slowdownWeight = 1.5;
-    /// Bytes between zones are dear.
-    constexpr double otherZoneSeconds = 0.01;
-    /// What a fetch costs beyond its time, as seconds of waiting that are worth as much: the copy takes the place of
-    /// something else, and what leaves every engine's memory is read again. With 0.02 an engine's memory turned over in
-    /// some 14 s, two thirds of it for copies. Measured over 12 days each, mean worth at 0.02, 0.15 and 0.4: Vodoslet
-    /// 0.686, 0.697 and 0.699, Ahnenhaus 0.632, 0.639 and 0.643.
+    /// Traffic between availability zones is expensive.
+    constexpr double otherZonePenaltySeconds = 0.01;
+    /// The cost of a fetch beyond its time: the copy evicts something else from the cache, and what no engine has
+    /// cached any more is prefilled again. With 0.02 an engine's cache turned over in about 14 s, two thirds of it for
+    /// copies. In simulations of 12 days two fleets earned 0.686 and 0.632 of their requests' value at 0.02, 0.697 and
+    /// 0.639 at 0.15, and 0.699 and 0.643 at 0.4.
     constexpr double fetchPenaltySeconds = 0.25;
-    /// The same for an answer that is written where nothing of its prompt is kept: importing it takes as much memory.
-    /// Played on the users' four fleets: share of the worth earned at 0.06 and 0.12, grown Ahnenhaus 0.8927 and 0.8952,
-    /// the others within 0.002.
+    /// The same for an answer that is decoded at an engine without any of its prompt cached, because the import takes
+    /// as much memory. In simulations one fleet earned 0.8927 of its requests' value at 0.06 and 0.8952 at 0.12; the
+    /// other fleets differed by at most 0.002.
     constexpr double importPenaltySeconds = 0.12;
-    /// Of an engine's slots: beyond it they may all be taken before the nodes have told each other. Played on the
-    /// users' four fleets: grown Ahnenhaus 0.8865 at 0.7 and 0.8952 at 0.85, Vodoslet 0.921 and 0.926. Seconds for a
-    /// full engine's worth of requests beyond it.
-    constexpr double uncrowdedShare = 0.85;
-    constexpr double crowdingWeight = 1.0;
-    /// A late prompt that waits takes one of the slots that answers are written in; engines that only read have slots
-    /// to spare. Seconds of waiting that are as bad as one more where all are taken.
-    constexpr double lateAtWriterSeconds = 0.8;
-    /// Seconds of waiting that are as bad as a second for which an engine is held up for others.
+    /// Above this share of an engine's slots, all of them may be taken before the nodes have exchanged their loads. The
+    /// weight is the cost of one full engine's worth of requests above it. In simulations two fleets earned 0.8865 and
+    /// 0.921 of their requests' value at 0.7, and 0.8952 and 0.926 at 0.85.
+    constexpr double occupancyThreshold = 0.85;
+    constexpr double occupancyWeight = 1.0;
+    /// A waiting late prompt occupies a slot that answers need; engines that only prefill have slots to spare. This is
+    /// the cost of one more where all slots are taken.
+    constexpr double lateSlotSeconds = 0.8;
+    /// The cost of a second for which an engine is blocked for other requests.
     constexpr double blockingWeight = 1;
-    /// Of the streams at an engine, those that are late by a pause there and would not be without; the others end
-    /// before their next event, or had paused already. Counted so instead of as half a late request in all: at 1.25
-    /// times its load a fleet of 18 engines earned 0.746 instead of 0.711 (fleet model, four seeds).
+    /// The share of an engine's streams that miss their aim because of a pause and would not miss it otherwise; the
+    /// others end before their next event, or had a pause already. A model that counted half a late request in all
+    /// earned less: at 1.25 times its load a fleet of 18 engines earned 0.711 of its requests' value instead of 0.746,
+    /// in simulations with four seeds.
     constexpr double pauseShare = 0.5;
     constexpr double ownPauseShare = 0.5;
-    /// Streams last about so long at the users' deployments, so the ones at an engine are others by then.
-    constexpr double streamSeconds = 2;
-    /// Requests at an engine, in its slots. What waits there is taken up by urgency, so a place in the queue costs the
-    /// urgent ones nothing.
-    constexpr int enginePlaces = 2;
-    /// The same at a plain target. What goes wrong with fewer: calls are held or refused while it has free slots, since
-    /// most of the calls that peers told are over; and all that were held are sent at once with the next heartbeats.
-    constexpr int plainPlaces = 3;
-    /// A fast answer anywhere is better than a late one.
-    constexpr double lateSeconds = 10;
-    /// Reading a beginning again takes the engine from others as well as from this request.
+    /// The typical length of a stream; after it an engine has other streams.
+    constexpr double typicalStreamSeconds = 2;
+    /// The number of requests for each slot that an engine may hold. It queues them by urgency, so queued ones do not
+    /// delay urgent ones.
+    constexpr int requestsPerEngineSlot = 2;
+    /// The same at a plain target. With fewer, calls are held or refused while the target has free slots, because most
+    /// of the calls that peers report are over; and all that were held are sent at once with the next heartbeats.
+    constexpr int requestsPerPlainSlot = 3;
+    /// The cost of a late answer; it makes a fast answer at any target better than a late one.
+    constexpr double latePenaltySeconds = 10;
+    /// A prefill that a cached prefix would save delays other requests at the engine as well as this one.
     constexpr double sharedWorkWeight = 1.0;
-    /// How much of a request that may fail is lost.
-    constexpr double failureSeconds = 0.3;
-    /// Of a slot, in favour of the node's own zone.
-    constexpr double otherZoneSlots = 1.5;
-    /// Of a plain target, for the share of attempts that are lost there; what is lost is worth far more than a wait.
-    /// Two of three targets lost 30% of their answers for 5 s: at 12 nine nodes lost 25 of 450 calls, at 40 they
-    /// lost 9.
-    constexpr double failureSlots = 40;
+    /// The cost of a certain failure.
+    constexpr double failurePenaltySeconds = 0.3;
+    /// The cost of a target in another availability zone, in slots.
+    constexpr double otherZonePenaltySlots = 1.5;
+    /// The cost of a certain failure at a plain target, in slots; a lost call is worth far more than a wait. With two
+    /// of three targets losing 30% of their answers for 5 s, nine nodes lost 25 of 450 calls at 12, and 9 at 40.
+    constexpr double failurePenaltySlots = 40;
     /// A small random part keeps nodes with the same view from choosing the same target.
     constexpr double noiseSlots = 0.3;
-    /// Calls of plain targets are over before peers hear of them, so what peers told is an average of the time before.
-    /// All nodes would send theirs to the target that had the least, until the next heartbeats; so the noise is this
-    /// many times the calls of peers at a target.
-    constexpr double oldLoadNoise = 4;
+    /// Calls of plain targets are over before peers get a report of them, so a reported load is an average of the
+    /// recent past. Without noise all nodes would send their calls to the target with the lowest reported load until
+    /// the next heartbeats. The noise is this multiple of the peers' calls at a target.
+    constexpr double staleLoadNoise = 4;
     constexpr double noiseSeconds = 0.002;
-    /// What a new connection costs beyond its time, as seconds of waiting that are worth as much: the target is busy
-    /// with it, and can have only so many.
-    constexpr double connectingCost = 0.03;
+    /// The cost of a new connection beyond its time: it is work for the target, which accepts a limited number of
+    /// connections.
+    constexpr double connectionSetupSeconds = 0.03;
 
     bool isEngine(target_role role) { return role != target_role::plain; }
 
@@ -85,13 +86,13 @@
 {
 }
 
-const std::vector<std::uint32_t>& placement::candidates(const placement_need& need, instant now)
+const std::vector<std::uint32_t>& placement::candidates(const placement_query& need, instant now)
 {
     m_candidates.clear();
     m_profile = need.request.configuration->findService(need.request.service);
     bool hasAvoided = false;
     for (const auto row : m_inputs.fleet.rowsOf(need.request.service)) {
-        if (!m_inputs.fleet.takesWork({ row }, now) || !isOfKind(row))
+        if (!m_inputs.fleet.acceptsWork({ row }, now) || !matchesServiceKind(row))
             continue;
         if (target_id { row } == need.avoid)
             hasAvoided = true;
@@ -103,26 +104,26 @@
     return m_candidates;
 }
 
-// What goes wrong without it: an entry of the list that no target has written names an engines' service but no role, or
-// a plain one and a role, and prompts go to something that cannot read them.
-bool placement::isOfKind(std::uint32_t row) const
+// Without this check prompts would go to targets that cannot prefill them: a record that no target has written may name
+// a service of engines without a role, or a service of plain targets with one.
+bool placement::matchesServiceKind(std::uint32_t row) const
 {
     return !m_profile || m_profile->engine.has_value() == isEngine(m_inputs.fleet.role[row]);
 }
 
-// What goes wrong without the cap: a target resets each connection beyond its own bound, which all nodes share, and the
-// requests on them are lost. A node keeps to its part of it.
-bool placement::hasRoom(target_id id) const
+// A target resets each connection above its own limit, which all nodes share, and the requests on these connections are
+// lost. Each node therefore keeps to its share of the limit.
+bool placement::hasCapacity(target_id id) const
 {
     const auto& fleet = m_inputs.fleet;
     const int cap = m_profile ? m_profile->connectionCap : 0;
     if (cap > 0 && fleet.ownRunning[id.value] >= std::max(1, cap / m_knownNodes))
         return false;
-    const int placesOfSlot = isEngine(fleet.role[id.value]) ? enginePlaces : plainPlaces;
-    return fleet.running(id) < placesOfSlot * fleet.slots[id.value];
+    const int requestsPerSlot = isEngine(fleet.role[id.value]) ? requestsPerEngineSlot : requestsPerPlainSlot;
+    return fleet.running(id) < requestsPerSlot * fleet.slots[id.value];
 }
 
-target_choice placement::chooseFirst(const placement_need& need, instant now)
+target_choice placement::chooseFirst(const placement_query& need, instant now)
 {
     const auto& rows = candidates(need, now);
     if (rows.empty())
@@ -144,15 +145,15 @@
     const auto& fleet = m_inputs.fleet;
     target_choice best;
     double lowest = std::numeric_limits<double>::max();
-    const double noise = noiseSlots + oldLoadNoise * meanPeersRunning();
+    const double noise = noiseSlots + staleLoadNoise * meanPeersRunning();
     for (const auto row : m_candidates) {
         const target_id id { row };
-        if (!hasRoom(id))
+        if (!hasCapacity(id))
             continue;
         double cost
-            = fleet.running(id) + noise * m_random.unit() + failureSlots * m_inputs.health.failureShare(id, now);
+            = fleet.running(id) + noise * m_random.unit() + failurePenaltySlots * m_inputs.health.failureShare(id, now);
         if (!fleet.isLocal(id))
-            cost += otherZoneSlots;
+            cost += otherZonePenaltySlots;
         if (cost >= lowest)
             continue;
         lowest = cost;
@@ -161,94 +162,95 @@
     return best;
 }
 
-// What goes wrong without it: an engine whose slots are all taken puts a running request back for a more urgent one,
-// and reads its whole prompt again later.
-double placement::crowdingSeconds(target_id id) const
+// An engine whose slots are all taken preempts a running request for a more urgent one, and later prefills the whole
+// prompt again.
+double placement::occupancyPenaltySeconds(target_id id) const
 {
-    return crowdingWeight * std::max(0.0, takenShare(id) - uncrowdedShare);
+    return occupancyWeight * std::max(0.0, occupancyShare(id) - occupancyThreshold);
 }
 
-double placement::connectingSeconds(target_id id, instant now) const
+double placement::connectionPenaltySeconds(target_id id, instant now) const
 {
-    return m_inputs.connections.has(id, now) ? 0 : connectingCost;
+    return m_inputs.connections.has(id, now) ? 0 : connectionSetupSeconds;
 }
 
-double placement::takenShare(target_id id) const
+double placement::occupancyShare(target_id id) const
 {
     return static_cast<double>(m_inputs.fleet.running(id) + 1) / m_inputs.fleet.slots[id.value];
 }
 
-// What goes wrong without it: while an engine reads, each of its steps is longer, and the streams that it writes pause
-// between two events for longer than their callers count as smooth. Of the streams there each is late by that, so it
-// weighs as much as so many late requests. Where they pause already, only the request's own stream is late.
-double placement::pauseSeconds(target_id id, double work, instant now)
+// While an engine prefills, each of its decode steps is longer, and its streams pause between two events for longer
+// than their callers' aim. Each affected stream is late, so the cost is that of as many late requests. Where the
+// streams pause already, only the request's own stream is late.
+double placement::pausePenaltySeconds(target_id id, double work, instant now)
 {
     const int streams = m_inputs.fleet.running(id);
-    if (!m_profile || streams == 0 || m_pauses.excess(id, work, *m_profile, now) <= 0)
+    if (!m_profile || streams == 0 || m_pauses.excessSeconds(id, work, *m_profile, now) <= 0)
         return 0;
-    if (m_pauses.excess(id, 0, *m_profile, now) <= 0)
-        return lateSeconds * pauseShare * streams;
-    // Those that are there pause already; as many as come while this prompt is read are hit besides, and its own.
-    const double length = m_inputs.queues.readSeconds(id, work, now);
-    const double hit = pauseShare * streams * std::min(1.0, length / streamSeconds);
-    return lateSeconds * (ownPauseShare + hit);
+    if (m_pauses.excessSeconds(id, 0, *m_profile, now) <= 0)
+        return latePenaltySeconds * pauseShare * streams;
+    // The present streams pause already; the ones that start during this prefill are affected besides, and the
+    // request's own.
+    const double length = m_inputs.queues.prefillSeconds(id, work, now);
+    const double affected = pauseShare * streams * std::min(1.0, length / typicalStreamSeconds);
+    return latePenaltySeconds * (ownPauseShare + affected);
 }
 
-void placement::findKeepers(const placement_need& need)
+void placement::findPrefixHolders(const placement_query& need)
 {
-    m_keepers.clear();
+    m_prefixHolders.clear();
     if (!need.request.text)
         return;
     for (const auto row : m_candidates) {
         const auto tokens = m_inputs.caches.fetchableTokens({ row }, *need.request.text);
         if (tokens > 0)
-            m_keepers.push_back({ { row }, tokens });
+            m_prefixHolders.push_back({ { row }, tokens });
     }
 }
 
-placement::kept_beginning placement::bestKeeperFor(target_id id) const
+placement::cached_prefix placement::bestHolderFor(target_id id) const
 {
     const auto& zone = m_inputs.fleet.zone;
-    kept_beginning best;
-    for (const auto& keeper : m_keepers) {
-        if (keeper.engine == id || keeper.tokens < best.tokens)
+    cached_prefix best;
+    for (const auto& holder : m_prefixHolders) {
+        if (holder.engine == id || holder.tokens < best.tokens)
             continue;
-        const bool isNearer = best.engine.isValid() && zone[keeper.engine.value] == zone[id.value]
+        const bool isNearer = best.engine.isValid() && zone[holder.engine.value] == zone[id.value]
             && zone[best.engine.value] != zone[id.value];
-        if (keeper.tokens > best.tokens || isNearer)
-            best = keeper;
+        if (holder.tokens > best.tokens || isNearer)
+            best = holder;
     }
     return best;
 }
 
-target_choice placement::reading(target_id id, const placement_need& need, instant now) const
+target_choice placement::estimatePrefill(target_id id, const placement_query& need, instant now) const
 {
     const auto& fleet = m_inputs.fleet;
     target_choice choice;
     choice.target = id;
     if (need.request.text) {
         const auto& text = *need.request.text;
-        const auto kept = m_inputs.caches.keptTokens(id, text);
-        const auto keeper = bestKeeperFor(id);
-        // Also named when the engine should have the beginning: events of its cache come late, and what it has lost
-        // meanwhile is fetched instead of read again.
-        if (keeper.tokens > 0 && keeper.tokens >= kept)
-            choice.fetchFrom = keeper.engine;
-        choice.isFetching = keeper.tokens > kept;
+        const auto kept = m_inputs.caches.reusableTokens(id, text);
+        const auto holder = bestHolderFor(id);
+        // The source is also named if the engine should have the prefix cached: its cache events arrive late, and parts
+        // that were evicted meanwhile are fetched instead of prefilled again.
+        if (holder.tokens > 0 && holder.tokens >= kept)
+            choice.fetchFrom = holder.engine;
+        choice.isFetching = holder.tokens > kept;
         if (choice.isFetching)
-            choice.transferSeconds = transferTime(keeper.tokens - kept, keeper.engine, id);
-        choice.work = promptWork(std::max(kept, keeper.tokens), text.inputTokens);
+            choice.transferSeconds = transferTime(holder.tokens - kept, holder.engine, id);
+        choice.work = prefillWork(std::max(kept, holder.tokens), text.inputTokens);
     }
-    choice.seconds = choice.transferSeconds + m_inputs.pace.readBase(id);
-    choice.seconds += m_inputs.queues.readSeconds(id, choice.work, now);
+    choice.seconds = choice.transferSeconds + m_inputs.pace.prefillOverheadSeconds(id);
+    choice.seconds += m_inputs.queues.prefillSeconds(id, choice.work, now);
     if (fleet.role[id.value] == target_role::prefill) {
         choice.stage = attempt_stage::prefill;
-        choice.seconds += takeOver(id, need);
+        choice.seconds += handoverSeconds(id, need);
     }
     choice.rank = rankOf(choice.work);
     choice.waitSeconds = m_inputs.queues.waitSeconds(id, choice.rank, now);
-    if (choice.seconds + choice.waitSeconds > need.secondsToAim) {
-        choice.rank = read_rank::late;
+    if (choice.seconds + choice.waitSeconds > need.secondsUntilAim) {
+        choice.rank = prefill_rank::late;
         choice.waitSeconds = m_inputs.queues.waitSeconds(id, choice.rank, now);
     }
     choice.seconds += choice.waitSeconds;
@@ -261,62 +263,64 @@
     return m_profile ? serving::transferSeconds(*m_profile, tokens, zone[from.value] == zone[to.value]) : 0;
 }
 
-// The writer is chosen when the prompt was read, so any of them stands for it here.
-double placement::takeOver(target_id reader, const placement_need& need) const
+// The decoding engine is chosen after the prefill, so any of them stands for it here.
+double placement::handoverSeconds(target_id prefillEngine, const placement_query& need) const
 {
     const auto tokens = need.request.text ? need.request.text->inputTokens : 0;
     double base = 0;
     for (const auto row : m_candidates) {
         if (m_inputs.fleet.role[row] != target_role::prefill) {
-            base = m_inputs.pace.importBase({ row });
+            base = m_inputs.pace.importOverheadSeconds({ row });
             break;
         }
     }
-    return base + transferTime(tokens, reader, reader);
+    return base + transferTime(tokens, prefillEngine, prefillEngine);
 }
 
-// What goes wrong without it: late requests lie at all engines, and at each of them one that was begun holds up the
-// fast ones for its whole length. Where one of that length lies already, a further one does no more harm.
-double placement::newBlocking(const target_choice& choice, instant now) const
+// Without this cost late requests would be spread over all engines, and at each of them a late one that has started
+// would delay the fast ones for its whole length. Where a late request of that length is queued already, a further one
+// does no more harm.
+double placement::addedBlockingSeconds(const target_choice& choice, instant now) const
 {
-    const double held = m_inputs.queues.readSeconds(choice.target, choice.work, now);
-    return std::max(0.0, held - m_inputs.queues.longestLate(choice.target));
+    const double held = m_inputs.queues.prefillSeconds(choice.target, choice.work, now);
+    return std::max(0.0, held - m_inputs.queues.longestLateSeconds(choice.target));
 }
 
-double placement::lateTakesSlot(target_id id) const
+double placement::lateSlotPenaltySeconds(target_id id) const
 {
     if (m_inputs.fleet.role[id.value] == target_role::prefill)
         return 0;
-    return lateAtWriterSeconds * takenShare(id);
+    return lateSlotSeconds * occupancyShare(id);
 }
 
-target_choice placement::chooseEngine(const placement_need& need, instant now)
+target_choice placement::chooseEngine(const placement_query& need, instant now)
 {
     const auto& fleet = m_inputs.fleet;
-    findKeepers(need);
+    findPrefixHolders(need);
     target_choice best;
     double lowest = std::numeric_limits<double>::max();
     for (const auto row : m_candidates) {
         const target_id id { row };
         const bool isPrefill = fleet.role[row] == target_role::prefill;
-        if (!hasRoom(id) || (isPrefill && !(need.request.text && need.mayReadApart)))
+        if (!hasCapacity(id) || (isPrefill && !(need.request.text && need.maySplitPrefill)))
             continue;
-        const auto choice = reading(id, need, now);
-        double cost = choice.seconds + sharedWorkWeight * m_inputs.queues.readSeconds(id, choice.work, now);
-        cost += noiseSeconds * m_random.unit() + failureSeconds * m_inputs.health.failureShare(id, now);
-        if (choice.rank == read_rank::late)
-            cost += lateSeconds + blockingWeight * newBlocking(choice, now) + lateTakesSlot(id);
+        const auto choice = estimatePrefill(id, need, now);
+        double cost = choice.seconds + sharedWorkWeight * m_inputs.queues.prefillSeconds(id, choice.work, now);
+        cost += noiseSeconds * m_random.unit() + failurePenaltySeconds * m_inputs.health.failureShare(id, now);
+        if (choice.rank == prefill_rank::late)
+            cost
+                += latePenaltySeconds + blockingWeight * addedBlockingSeconds(choice, now) + lateSlotPenaltySeconds(id);
         if (!isPrefill)
-            cost += pauseSeconds(id, choice.work, now);
+            cost += pausePenaltySeconds(id, choice.work, now);
         if (!isPrefill)
-            cost += slowdownWeight * takenShare(id) * m_inputs.queues.readSeconds(id, choice.work, now);
+            cost += slowdownWeight * occupancyShare(id) * m_inputs.queues.prefillSeconds(id, choice.work, now);
         if (choice.isFetching)
             cost += fetchPenaltySeconds;
-        cost += crowdingSeconds(id) + connectingSeconds(id, now);
+        cost += occupancyPenaltySeconds(id) + connectionPenaltySeconds(id, now);
         if (choice.stage == attempt_stage::prefill)
-            cost += movePenaltySeconds;
+            cost += handoverPenaltySeconds;
         if (!fleet.isLocal(id))
-            cost += otherZoneSeconds;
+            cost += otherZonePenaltySeconds;
         if (cost >= lowest)
             continue;
         lowest = cost;
@@ -325,15 +329,15 @@
     return best;
 }
 
-double placement::missingShare(target_id id, const serving_request& request) const
+double placement::uncachedShare(target_id id, const serving_request& request) const
 {
     if (!request.text || request.text->inputTokens <= 0)
         return 0;
-    const auto kept = static_cast<double>(m_inputs.caches.keptTokens(id, *request.text));
+    const auto kept = static_cast<double>(m_inputs.caches.reusableTokens(id, *request.text));
     return 1 - kept / static_cast<double>(request.text->inputTokens);
 }
 
-target_choice placement::chooseDecode(const placement_need& need, target_id source, instant now)
+target_choice placement::chooseDecode(const placement_query& need, target_id source, instant now)
 {
     const auto& fleet = m_inputs.fleet;
     candidates(need, now);
@@ -341,30 +345,30 @@
     double lowest = std::numeric_limits<double>::max();
     for (const auto row : m_candidates) {
         const target_id id { row };
-        if (fleet.role[row] == target_role::prefill || !hasRoom(id))
+        if (fleet.role[row] == target_role::prefill || !hasCapacity(id))
             continue;
-        // Where reading makes streams pause, all that is still to be read there counts, whenever that is.
-        const bool isDisturbed
-            = m_profile && m_pauses.bearable(id, *m_profile, now) < std::numeric_limits<double>::infinity();
-        const auto rank = isDisturbed ? read_rank::late : read_rank::tiny;
+        // Where prefill makes streams pause, all queued prefill counts, whenever it will run.
+        const bool isPauseProne
+            = m_profile && m_pauses.prefillBudgetSeconds(id, *m_profile, now) < std::numeric_limits<double>::infinity();
+        const auto rank = isPauseProne ? prefill_rank::late : prefill_rank::tiny;
         const double wait = m_inputs.queues.waitSeconds(id, rank, now);
         const auto tokens = need.request.text ? need.request.text->inputTokens : 0;
         const double transfer = transferTime(tokens, source, id);
         double cost = wait + transfer + noiseSeconds * m_random.unit();
-        cost += failureSeconds * m_inputs.health.failureShare(id, now);
-        cost += crowdingSeconds(id) + connectingSeconds(id, now);
-        if (m_profile && m_pauses.excess(id, 0, *m_profile, now) > 0)
-            cost += lateSeconds * ownPauseShare;
+        cost += failurePenaltySeconds * m_inputs.health.failureShare(id, now);
+        cost += occupancyPenaltySeconds(id) + connectionPenaltySeconds(id, now);
+        if (m_profile && m_pauses.excessSeconds(id, 0, *m_profile, now) > 0)
+            cost += latePenaltySeconds * ownPauseShare;
         if (fleet.zone[row] != fleet.zone[source.value])
-            cost += otherZoneSeconds;
-        cost += importPenaltySeconds * missingShare(id, need.request);
+            cost += otherZonePenaltySeconds;
+        cost += importPenaltySeconds * uncachedShare(id, need.request);
         if (cost >= lowest)
             continue;
         lowest = cost;
         best.target = id;
         best.stage = attempt_stage::decode;
         best.transferSeconds = transfer;
-        best.seconds = wait + transfer + m_inputs.pace.importBase(id);
+        best.seconds = wait + transfer + m_inputs.pace.importOverheadSeconds(id);
     }
     return best;
 }
--- a/libs/serving/src/prompt_cache_map.cpp
+++ b/libs/serving/src/prompt_cache_map.cpp
@@ -1,84 +1,84 @@
-// Parts by engine.
+// Implements the map of cached and pending parts by engine.
 #include "serving/prompt_cache_map.h"
 
 #include <algorithm>
 
 namespace tamarack::serving {
 
-prompt_cache_map::kept_parts& prompt_cache_map::partsOf(target_id engine)
+prompt_cache_map::part_map& prompt_cache_map::partsOf(target_id engine)
 {
     if (engine.value >= m_byRow.size())
         m_byRow.resize(engine.value + 1);
     return m_byRow[engine.value];
 }
 
-// The last part is the request's own and will not be asked for again.
-void prompt_cache_map::sent(target_id engine, const prompt& text)
+// The last part belongs to this request only and will not be requested again.
+void prompt_cache_map::addPendingPrompt(target_id engine, const prompt& text)
 {
     auto& parts = partsOf(engine);
     for (std::size_t i = 0; i + 1 < text.parts.size(); ++i) {
-        if (text.parts[i].tokens >= fewestTokens)
-            parts.try_emplace(text.parts[i].id, kept_part { text.parts[i].tokens, false });
+        if (text.parts[i].tokens >= minPartTokens)
+            parts.try_emplace(text.parts[i].id, part_state { text.parts[i].tokens, false });
     }
 }
 
-prompt_part prompt_cache_map::longestMissing(target_id engine, const prompt& text) const
+prompt_part prompt_cache_map::longestUncachedPart(target_id engine, const prompt& text) const
 {
     prompt_part longest;
     for (std::size_t i = 0; i + 1 < text.parts.size(); ++i) {
         const bool isKnown = engine.value < m_byRow.size() && m_byRow[engine.value].contains(text.parts[i].id);
-        if (!isKnown && text.parts[i].tokens >= fewestTokens && text.parts[i].tokens > longest.tokens)
+        if (!isKnown && text.parts[i].tokens >= minPartTokens && text.parts[i].tokens > longest.tokens)
             longest = text.parts[i];
     }
     return longest;
 }
 
-void prompt_cache_map::peerSent(target_id engine, const prompt_part& part)
+void prompt_cache_map::addPendingPart(target_id engine, const prompt_part& part)
 {
-    if (part.tokens >= fewestTokens)
-        partsOf(engine).try_emplace(part.id, kept_part { part.tokens, false });
+    if (part.tokens >= minPartTokens)
+        partsOf(engine).try_emplace(part.id, part_state { part.tokens, false });
 }
 
-void prompt_cache_map::wasRead(target_id engine, const prompt& text)
+void prompt_cache_map::markCached(target_id engine, const prompt& text)
 {
     auto& parts = partsOf(engine);
     for (std::size_t i = 0; i + 1 < text.parts.size(); ++i) {
-        if (text.parts[i].tokens >= fewestTokens)
+        if (text.parts[i].tokens >= minPartTokens)
             parts[text.parts[i].id] = { text.parts[i].tokens, true };
     }
 }
 
-void prompt_cache_map::told(target_id engine, const std::vector<cache_event>& events)
+void prompt_cache_map::applyEvents(target_id engine, const std::vector<cache_event>& events)
 {
     auto& parts = partsOf(engine);
     for (const auto& event : events) {
-        if (event.tokens >= fewestTokens)
+        if (event.tokens >= minPartTokens)
             parts[event.part] = { event.tokens, true };
         else
             parts.erase(event.part);
     }
 }
 
-// What is still to be read there is on its way.
-void prompt_cache_map::listed(target_id engine, const std::vector<cache_event>& parts)
+// Pending parts are kept, because their prefill has yet to end.
+void prompt_cache_map::replaceParts(target_id engine, const std::vector<cache_event>& parts)
 {
-    std::erase_if(partsOf(engine), [](const auto& item) { return item.second.isThere; });
-    told(engine, parts);
+    std::erase_if(partsOf(engine), [](const auto& item) { return item.second.isCached; });
+    applyEvents(engine, parts);
 }
 
-std::vector<prompt_part> prompt_cache_map::partsThere(target_id engine) const
+std::vector<prompt_part> prompt_cache_map::cachedParts(target_id engine) const
 {
     std::vector<prompt_part> out;
     if (engine.value >= m_byRow.size())
         return out;
     for (const auto& [part, kept] : m_byRow[engine.value]) {
-        if (kept.isThere)
+        if (kept.isCached)
             out.push_back({ part, kept.tokens });
     }
     return out;
 }
 
-std::int64_t prompt_cache_map::countTokens(target_id engine, const prompt& text, bool onlyThere) const
+std::int64_t prompt_cache_map::countTokens(target_id engine, const prompt& text, bool onlyCached) const
 {
     if (engine.value >= m_byRow.size())
         return 0;
@@ -86,10 +86,10 @@
     std::int64_t kept = 0;
     for (std::size_t i = 0; i + 1 < text.parts.size(); ++i) {
         const auto& part = text.parts[i];
-        if (part.tokens < fewestTokens)
-            continue; // as good as kept
+        if (part.tokens < minPartTokens)
+            continue; // too short to be tracked; counts as cached
         const auto found = parts.find(part.id);
-        if (found == parts.end() || (onlyThere && !found->second.isThere))
+        if (found == parts.end() || (onlyCached && !found->second.isCached))
             break;
         kept += std::min(found->second.tokens, part.tokens);
         if (found->second.tokens < part.tokens)
@@ -98,7 +98,7 @@
     return kept;
 }
 
-std::int64_t prompt_cache_map::keptTokens(target_id engine, const prompt& text) const
+std::int64_t prompt_cache_map::reusableTokens(target_id engine, const prompt& text) const
 {
     return countTokens(engine, text, false);
 }
--- a/libs/serving/src/role_split.cpp
+++ b/libs/serving/src/role_split.cpp
@@ -1,4 +1,4 @@
-// Counts roles and picks engines.
+// Implements the choice of the engines that change their role.
 #include "serving/role_split.h"
 
 #include <algorithm>
@@ -12,33 +12,37 @@
 
     using namespace std::chrono_literals;
 
-    /// The list of targets comes in over some seconds when a node starts, and engines that crash are back or gone from
-    /// it within about 4 s.
+    /// When a node starts, the target list arrives over some seconds; and engines that crash are back in it, or gone
+    /// from it, within about 4 s.
     constexpr duration settleTime = 1500ms;
-    /// After engines were lost without a word: they may be back within some seconds, and until then the others seem to
-    /// be too many in one role. Those that said that they leave are not waited for.
+    /// The time to wait after engines have disappeared unannounced: they may be back within some seconds, and until
+    /// then one role seems to have too many of the others. Engines that have announced that they leave are not waited
+    /// for.
     constexpr duration lossSettleTime = 10s;
-    /// From the order to the new role in the list: running answers end, the change takes 3 s, the entry is written.
-    constexpr duration changeTime = 8s;
-    /// An order without an answer may be carried out up to 12 s later; nothing else is ordered there before.
-    constexpr duration orderPause = 20s;
-    /// Of the engines, under way at a time while they are at work; each is missing for some 3 s.
-    constexpr double busyShare = 0.1;
-    /// Before there is any load nobody knows whether the readers will be short. What a dozen changes cost is less than
-    /// a hundredth of what the users' fleets of 9 to 60 engines are worth in half a minute; 3,000 engines before a
-    /// light load would be given 168.
-    constexpr int mostIdleChanges = 12;
-    /// Seconds. At work readers are added only where long prompts wait for them; a full step of reading takes as long.
-    constexpr double leastReadWait = 0.02;
-    /// Of the engines; a smaller shortage is not worth a change while they are at work.
+    /// From the order until the new role is listed: running answers end, the change takes 3 s, and the record is
+    /// written.
+    constexpr duration maxChangeTime = 8s;
+    /// An order without an answer may be carried out up to 12 s later; the engine gets no other order before that.
+    constexpr duration orderInterval = 20s;
+    /// The share of the engines that may change at a time under load; each is out of service for about 3 s.
+    constexpr double maxBusyChangeShare = 0.1;
+    /// Before there is any load it is unknown whether prefill engines will be short. A dozen changes cost less than a
+    /// hundredth of the value that fleets of 9 to 60 engines earn in half a minute; without the limit 3,000 engines
+    /// under light load would be given 168 changes.
+    constexpr int maxIdleChanges = 12;
+    /// Under load prefill engines are added only if long prompts wait for them at least this long, which is the time of
+    /// one full prefill step.
+    constexpr double minPrefillWaitSeconds = 0.02;
+    /// The share of the engines; a smaller shortage is not worth a change under load.
     constexpr double busyTolerance = 0.05;
-    /// Of the engines, readers above what is wanted before one is changed back. In a fleet of 8 one is a quarter of
-    /// the writers: with 3 of 8 left to write, long answers of Vodoslet took longer than their callers wait.
+    /// The share of the engines by which the prefill engines may exceed the wanted number before one is changed back.
+    /// In a fleet of 8 one engine is a quarter of the decode engines: with only 3 of 8 left to decode, long answers
+    /// took longer than their callers wait.
     constexpr double surplusTolerance = 0.1;
-    /// One may hang or crash, and only writers can give an answer.
-    constexpr int fewestWriters = 2;
-    /// An engine listed for less than this has nothing in memory yet that a change would lose.
-    constexpr duration newTime = 3s;
+    /// One engine may hang or crash, and only engines that decode can give an answer.
+    constexpr int minDecodeEngines = 2;
+    /// An engine that has been listed for less than this has nothing cached yet that a change of role would lose.
+    constexpr duration newEngineAge = 3s;
 
     int share(double part, std::size_t whole)
     {
@@ -53,30 +57,30 @@
 {
 }
 
-void role_split::noteEngines(instant now)
+void role_split::updateEngines(instant now)
 {
-    for (auto& [instance, note] : m_notes)
-        note.isSeen = false;
+    for (auto& [instance, engine] : m_engines)
+        engine.isSeen = false;
     for (std::uint32_t row = 0; row < m_fleet.size(); ++row) {
         if (!m_fleet.isListed[row])
             continue;
-        auto [at, isNew] = m_notes.try_emplace(m_fleet.instance[row]);
+        auto [at, isNew] = m_engines.try_emplace(m_fleet.instance[row]);
         if (isNew)
             at->second.listedAt = now;
         at->second.isSeen = true;
         at->second.isLeaving = m_fleet.isDraining[row];
     }
-    std::erase_if(m_notes, [&](const auto& item) {
-        const auto& note = item.second;
-        if (!note.isSeen && !note.isLeaving)
+    std::erase_if(m_engines, [&](const auto& item) {
+        const auto& engine = item.second;
+        if (!engine.isSeen && !engine.isLeaving)
             m_lostAt = now;
-        return !note.isSeen;
+        return !engine.isSeen;
     });
 }
 
-std::vector<role_change> role_split::due(instant now, double readWait)
+std::vector<role_change> role_split::dueChanges(instant now, double prefillWaitSeconds)
 {
-    noteEngines(now);
+    updateEngines(now);
     std::set<std::string> services;
     for (std::uint32_t row = 0; row < m_fleet.size(); ++row) {
         if (m_fleet.isListed[row] && m_fleet.role[row] != target_role::plain)
@@ -84,35 +88,35 @@
     }
     std::vector<role_change> out;
     for (const auto& service : services) {
-        auto more = dueOf(service, m_fleet.rowsOf(service), now, readWait);
+        auto more = dueChangesOf(service, m_fleet.rowsOf(service), now, prefillWaitSeconds);
         out.insert(out.end(), more.begin(), more.end());
     }
     return out;
 }
 
-target_role role_split::roleSoon(std::uint32_t row, instant now) const
+target_role role_split::expectedRole(std::uint32_t row, instant now) const
 {
-    return isUnderWay(row, now) ? m_notes.at(m_fleet.instance[row]).orderedRole : m_fleet.role[row];
+    return isChanging(row, now) ? m_engines.at(m_fleet.instance[row]).orderedRole : m_fleet.role[row];
 }
 
-bool role_split::isUnderWay(std::uint32_t row, instant now) const
+bool role_split::isChanging(std::uint32_t row, instant now) const
 {
-    const auto found = m_notes.find(m_fleet.instance[row]);
-    if (found == m_notes.end() || found->second.orderedAt == instant())
+    const auto found = m_engines.find(m_fleet.instance[row]);
+    if (found == m_engines.end() || found->second.orderedAt == instant())
         return false;
-    return m_fleet.role[row] != found->second.orderedRole && now < found->second.orderedAt + changeTime;
+    return m_fleet.role[row] != found->second.orderedRole && now < found->second.orderedAt + maxChangeTime;
 }
 
-bool role_split::mayChange(std::uint32_t row, instant now) const
+bool role_split::mayOrder(std::uint32_t row, instant now) const
 {
-    const auto found = m_notes.find(m_fleet.instance[row]);
-    if (found == m_notes.end())
+    const auto found = m_engines.find(m_fleet.instance[row]);
+    if (found == m_engines.end())
         return false;
-    return found->second.orderedAt == instant() || now >= found->second.orderedAt + orderPause;
+    return found->second.orderedAt == instant() || now >= found->second.orderedAt + orderInterval;
 }
 
-std::vector<role_change> role_split::dueOf(
-    const std::string& service, const std::vector<std::uint32_t>& listed, instant now, double readWait)
+std::vector<role_change> role_split::dueChangesOf(
+    const std::string& service, const std::vector<std::uint32_t>& listed, instant now, double prefillWaitSeconds)
 {
     std::vector<std::uint32_t> rows;
     bool isIdle = true;
@@ -123,13 +127,13 @@
         isIdle &= m_fleet.running({ row }) == 0;
     }
     const auto count = [&](auto test) { return static_cast<int>(std::count_if(rows.begin(), rows.end(), test)); };
-    const int readers = count([&](auto row) { return roleSoon(row, now) == target_role::prefill; });
-    const int underWay = count([&](auto row) { return isUnderWay(row, now); });
+    const int prefillEngines = count([&](auto row) { return expectedRole(row, now) == target_role::prefill; });
+    const int changing = count([&](auto row) { return isChanging(row, now); });
     const int engines = static_cast<int>(rows.size());
-    if (engines <= fewestWriters)
+    if (engines <= minDecodeEngines)
         return {};
-    const int wanted = std::clamp(share(m_settings.readingShare, rows.size()), 1, engines - fewestWriters);
-    const int missing = wanted - readers;
+    const int wanted = std::clamp(share(m_settings.prefillShare, rows.size()), 1, engines - minDecodeEngines);
+    const int missing = wanted - prefillEngines;
     const int least = isIdle ? 1 : std::max(1, share(busyTolerance, rows.size()));
     const bool isSurplus = -missing > static_cast<int>(surplusTolerance * engines);
     const int size = missing >= least || isSurplus ? missing : 0;
@@ -138,28 +142,28 @@
     const int direction = size > 0 ? 1 : (size < 0 ? -1 : 0);
     if (held.direction != direction)
         held = { direction, now };
-    const bool mayComeBack = !isIdle && m_lostAt != instant() && now < m_lostAt + lossSettleTime;
-    if (size == 0 || mayComeBack || now < held.since + settleTime)
+    const bool mayReturn = !isIdle && m_lostAt != instant() && now < m_lostAt + lossSettleTime;
+    if (size == 0 || mayReturn || now < held.since + settleTime)
         return {};
-    const bool areReadersFree = size > 0 && !isIdle && readWait < leastReadWait;
-    const int most = areReadersFree ? 0 : allowed(std::abs(size), engines, underWay, isIdle);
+    const bool hasSparePrefill = size > 0 && !isIdle && prefillWaitSeconds < minPrefillWaitSeconds;
+    const int most = hasSparePrefill ? 0 : allowedChanges(std::abs(size), engines, changing, isIdle);
     if (most <= 0)
         return {};
     m_wasIdle = isIdle;
-    m_view = { service, engines, readers, wanted, isIdle };
+    m_lastDecision = { service, engines, prefillEngines, wanted, isIdle };
     const auto role = size > 0 ? target_role::prefill : target_role::decode;
     return choose(rows, role, static_cast<std::size_t>(most), now);
 }
 
-int role_split::allowed(int missing, int engines, int underWay, bool isIdle) const
+int role_split::allowedChanges(int missing, int engines, int changing, bool isIdle) const
 {
     if (isIdle)
-        return std::min(missing, mostIdleChanges - m_idleChanges);
-    return std::min(missing, std::max(1, static_cast<int>(busyShare * engines)) - underWay);
+        return std::min(missing, maxIdleChanges - m_idleChanges);
+    return std::min(missing, std::max(1, static_cast<int>(maxBusyChangeShare * engines)) - changing);
 }
 
-// Zones are kept alike, as caches that move between zones are slow and dear; within a zone the engine goes first that
-// loses least.
+// Availability zones are kept balanced, because KV cache transfers between them are slow and expensive. Within a zone
+// the engine is chosen that loses least.
 std::vector<role_change> role_split::choose(
     const std::vector<std::uint32_t>& rows, target_role role, std::size_t most, instant now) const
 {
@@ -172,16 +176,16 @@
     for (const auto row : rows) {
         auto& zone = zones[m_fleet.zone[row]];
         ++zone.engines;
-        const bool isInRole = roleSoon(row, now) == role;
+        const bool isInRole = expectedRole(row, now) == role;
         zone.inRole += isInRole;
-        if (!isInRole && mayChange(row, now))
+        if (!isInRole && mayOrder(row, now))
             candidates.push_back(row);
     }
     std::vector<role_change> out;
     while (out.size() < most && !candidates.empty()) {
         const auto rank = [&](std::uint32_t row) {
             const auto& zone = zones[m_fleet.zone[row]];
-            const bool isOld = now >= m_notes.at(m_fleet.instance[row]).listedAt + newTime;
+            const bool isOld = now >= m_engines.at(m_fleet.instance[row]).listedAt + newEngineAge;
             return std::tuple(zone.inRole / zone.engines, isOld, m_fleet.running({ row }), m_fleet.instanceHash[row]);
         };
         const auto best
@@ -193,19 +197,19 @@
     return out;
 }
 
-void role_split::ordered(target_id engine, target_role role, instant now)
+void role_split::recordOrder(target_id engine, target_role role, instant now)
 {
-    auto& note = m_notes[m_fleet.instance[engine.value]];
-    note.orderedAt = now;
-    note.orderedRole = role;
+    auto& state = m_engines[m_fleet.instance[engine.value]];
+    state.orderedAt = now;
+    state.orderedRole = role;
     m_idleChanges += m_wasIdle;
 }
 
-void role_split::refused(target_id engine, instant now)
+void role_split::recordRefusal(target_id engine, instant now)
 {
-    auto& note = m_notes[m_fleet.instance[engine.value]];
-    note.orderedAt = now;
-    note.orderedRole = m_fleet.role[engine.value];
+    auto& state = m_engines[m_fleet.instance[engine.value]];
+    state.orderedAt = now;
+    state.orderedRole = m_fleet.role[engine.value];
 }
 
 }
--- a/libs/serving/tests/model/fleet_faults.cpp
+++ b/libs/serving/tests/model/fleet_faults.cpp
@@ -84,10 +84,10 @@
 {
     const auto slow = someEngines(slowdown.share);
     for (const int engine : slow)
-        m_engines[static_cast<std::size_t>(engine)].setSlowness(usualSlowness(engine) * slowdown.slowness);
+        m_engines[static_cast<std::size_t>(engine)].setSlowness(typicalSlowness(engine) * slowdown.slowness);
     later(slowdown.until - slowdown.from, [this, slow] {
         for (const int engine : slow)
-            m_engines[static_cast<std::size_t>(engine)].setSlowness(usualSlowness(engine));
+            m_engines[static_cast<std::size_t>(engine)].setSlowness(typicalSlowness(engine));
     });
 }
 
@@ -111,8 +111,8 @@
 void fleet_model::lookAtRoles()
 {
     const auto& decisions = *m_nodes.front().decisions;
-    for (const auto& change : m_split->due(m_now, decisions.readWait())) {
-        m_split->ordered(change.engine, change.role, m_now);
+    for (const auto& change : m_split->dueChanges(m_now, decisions.readWait())) {
+        m_split->recordOrder(change.engine, change.role, m_now);
         orderRole(change);
     }
     later(roleLook, [this] { lookAtRoles(); });
--- a/libs/serving/tests/model/fleet_model.cpp
+++ b/libs/serving/tests/model/fleet_model.cpp
@@ -91,7 +91,7 @@
 
 void fleet_model::addEngines()
 {
-    m_firstReaders = static_cast<int>(std::ceil(m_sheet.readingShare * m_sheet.engines));
+    m_firstReaders = static_cast<int>(std::ceil(m_sheet.prefillShare * m_sheet.engines));
     for (int i = 0; i < m_sheet.engines; ++i) {
         engine_events events;
         events.onPrefilled = [this](std::uint64_t key) { later(answerTime, [this, key] { prefilled(key); }); };
@@ -101,7 +101,7 @@
         events.onKept = [this, i](const prompt_part& part) { kept(i, part); };
         // Spread over zones, as the roles are.
         auto sheet = m_sheet.engine;
-        sheet.slowness = usualSlowness(i);
+        sheet.slowness = typicalSlowness(i);
         m_engines.emplace_back(sheet, i >= m_firstReaders, std::move(events));
         m_instances.push_back("engine-" + std::to_string(i));
         m_engineOf[m_instances.back()] = i;
@@ -111,7 +111,7 @@
     }
 }
 
-double fleet_model::usualSlowness(int engine) const
+double fleet_model::typicalSlowness(int engine) const
 {
     return m_sheet.slowness[static_cast<std::size_t>(engine) % m_sheet.slowness.size()];
 }
@@ -425,7 +425,7 @@
     m_sent[key] = { node, start.request, start.attempt, engine, start.stage, start.target };
     auto& connections = m_nodes[node].connections;
     m_result.connections += !connections.has(start.target, m_now);
-    connections.taken(start.target, m_now);
+    connections.take(start.target, m_now);
     if (engine < 0 || m_isLost[static_cast<std::size_t>(engine)]) {
         later(unreachedTime, [this, key] { endAttempt(key, attempt_result::unreached, {}); });
         return;
@@ -546,7 +546,7 @@
 {
     auto& node = m_nodes[sent.node];
     const auto until = m_now + m_sheet.connectionLife;
-    node.connections.kept(sent.target, until);
+    node.connections.add(sent.target, until);
     node.decisions->connectionKept(sent.target, until);
 }
 
--- a/libs/serving/tests/model/fleet_model.h
+++ b/libs/serving/tests/model/fleet_model.h
@@ -31,7 +31,7 @@
         std::unique_ptr<dispatcher> decisions;
         std::string name;
         bool isRetired = false; ///< started anew: it ends what it holds
-        kept_connections connections; ///< that there are, by row of its fleet
+        idle_connections connections; ///< that there are, by row of its fleet
     };
     struct sent_attempt {
         std::size_t node = 0;
@@ -56,7 +56,7 @@
 
     void later(duration wait, action what);
     void addEngines();
-    double usualSlowness(int engine) const;
+    double typicalSlowness(int engine) const;
     void addNodes();
     void addNode(std::size_t zone);
     void restart(const node_restart& what);
--- a/libs/serving/tests/model/fleet_sheet.h
+++ b/libs/serving/tests/model/fleet_sheet.h
@@ -70,7 +70,7 @@
 struct fleet_sheet {
     engine_sheet engine;
     int engines = 57;
-    double readingShare = 0.32; ///< of the engines only read at the start
+    double prefillShare = 0.32; ///< of the engines only read at the start
     bool changesRoles = true; ///< the nodes' decisions on roles are carried out
     duration roleChangeTime = std::chrono::seconds(3);
     std::vector<double> slowness { 1 }; ///< of the engines, by turns
--- a/libs/serving/tests/model/random_fleets.cpp
+++ b/libs/serving/tests/model/random_fleets.cpp
@@ -71,7 +71,7 @@
             m_sheet.engines = whole(6, 200);
             m_sheet.nodes = std::clamp(static_cast<int>(m_sheet.engines * between(0.3, 1.2)), 3, 80);
             m_sheet.zones = 2 + static_cast<int>(m_random.below(4));
-            m_sheet.readingShare = between(0.25, 0.5);
+            m_sheet.prefillShare = between(0.25, 0.5);
             m_sheet.roleChangeTime = fromSeconds(between(2, 4));
         }
 
--- a/libs/serving/tests/model/users_fleets.cpp
+++ b/libs/serving/tests/model/users_fleets.cpp
@@ -59,7 +59,7 @@
         out.engine.memoryTokens = 409'968;
         out.engine.bytesPerToken = 35'136;
         out.engine.linkGigabits = 300;
-        out.readingShare = 0.35;
+        out.prefillShare = 0.35;
         out.zones = 3;
         out.rate = swing;
         auto large = longPrompts();
@@ -138,7 +138,7 @@
     out.engines = 192;
     out.nodes = 295;
     out.zones = 5;
-    out.readingShare = 0.33;
+    out.prefillShare = 0.33;
     out.engine.slots = 12;
     out.engine.tokensPerEvent = 16;
     out.engine.memoryTokens = 352'325;
@@ -159,7 +159,7 @@
     auto out = ahnenhaus();
     out.zones = 3;
     out.engines = 18;
-    out.readingShare = 0.3;
+    out.prefillShare = 0.3;
     out.nodes = 9;
     out.engine.slots = 12;
     out.engine.tokensPerEvent = 11;
@@ -245,7 +245,7 @@
     auto out = larrain();
     out.engines = 18;
     out.nodes = 7;
-    out.readingShare = 0.35;
+    out.prefillShare = 0.35;
     out.engine.slots = 64;
     out.engine.tokensPerEvent = 11;
     out.engine.memoryTokens = 537'779;
@@ -270,7 +270,7 @@
     auto out = larrain();
     out.engines = 140;
     out.nodes = 77;
-    out.readingShare = 0.32;
+    out.prefillShare = 0.32;
     out.engine.slots = 16;
     out.engine.tokensPerEvent = 14;
     out.engine.memoryTokens = 415'029;
--- a/libs/serving/tests/test_dispatcher.cpp
+++ b/libs/serving/tests/test_dispatcher.cpp
@@ -124,7 +124,7 @@
     CHECK(find<refuse_request>(out)->kind == error_kind::outcome_unknown);
     CHECK(count<start_attempt>(out) == 0);
     // The failure was the former life's.
-    CHECK(world.decisions.fleet().takesWork(world.decisions.fleet().find("p1/2000"), at(30ms)));
+    CHECK(world.decisions.fleet().acceptsWork(world.decisions.fleet().find("p1/2000"), at(30ms)));
 }
 
 TEST_CASE("test_request_that_may_be_repeated_goes_to_another_target")
@@ -167,7 +167,7 @@
     const auto request = begin(world, world.make(report), at(0s));
     command_list out;
     world.decisions.ended(request.id, request.start.attempt, attempt_result::failure_answer, {}, at(5ms), out);
-    CHECK(count<pass_failure_on>(out) == 1);
+    CHECK(count<forward_failure>(out) == 1);
     CHECK(count<refuse_request>(out) == 0);
 }
 
--- a/libs/serving/tests/test_engine_pace.cpp
+++ b/libs/serving/tests/test_engine_pace.cpp
@@ -19,7 +19,7 @@
 
     target_id add(const std::string& name, target_role role)
     {
-        return fleet.put(targetRecord(name, "engines", role, 16));
+        return fleet.upsert(targetRecord(name, "engines", role, 16));
     }
 
     /// The engine read prompts of all sizes; others were in the way of `crowded` of them, and nobody knew.
@@ -28,7 +28,7 @@
         for (int i = 0; i < prompts; ++i) {
             const double work = 200 + 12'000 * random.unit() * random.unit();
             const double unknown = random.unit() < crowded ? 0.3 * random.unit() : 0;
-            pace.read(engine, work, 0, fromSeconds(base + work * secondsPerToken + unknown), now);
+            pace.recordPrefill(engine, work, 0, fromSeconds(base + work * secondsPerToken + unknown), now);
             now += 100ms;
         }
     }
@@ -45,11 +45,11 @@
     const auto first = world.add("e1", target_role::prefill);
     const auto other = world.add("e2", target_role::prefill);
     const auto writer = world.add("e3", target_role::decode);
-    const double assumed = world.pace.usualSecondsPerToken(writer);
+    const double assumed = world.pace.typicalSecondsPerToken(writer);
     world.teach(first, 300, 0.01, 13e-6);
     CHECK(world.pace.secondsPerToken(other, world.now) == Approx(13e-6).epsilon(0.1));
-    CHECK(world.pace.readBase(other) == Approx(0.01).margin(0.006));
-    CHECK(world.pace.usualSecondsPerToken(writer) == assumed);
+    CHECK(world.pace.prefillOverheadSeconds(other) == Approx(0.01).margin(0.006));
+    CHECK(world.pace.typicalSecondsPerToken(writer) == assumed);
 }
 
 TEST_CASE("test_pace_is_learned_whatever_was_assumed_and_although_others_are_in_the_way")
@@ -64,7 +64,7 @@
             const auto engine = world.add("e1", target_role::prefill);
             world.teach(engine, 400, base, secondsPerToken, 0.5);
             const auto predicted = [&](double work) {
-                return world.pace.readBase(engine) + work * world.pace.usualSecondsPerToken(engine);
+                return world.pace.prefillOverheadSeconds(engine) + work * world.pace.typicalSecondsPerToken(engine);
             };
             for (const double work : { 1'000.0, 4'000.0, 9'000.0 })
                 CHECK(predicted(work) == Approx(base + work * secondsPerToken).epsilon(0.25).margin(0.015));
@@ -77,8 +77,8 @@
     pace_world world;
     const auto engine = world.add("e1", target_role::prefill);
     for (int i = 0; i < 200; ++i)
-        world.pace.read(engine, 6'000, 10, 70ms, world.now); // was to wait for 10 s
-    CHECK(world.pace.readBase(engine) + 6'000 * world.pace.usualSecondsPerToken(engine) < 0.08);
+        world.pace.recordPrefill(engine, 6'000, 10, 70ms, world.now); // was to wait for 10 s
+    CHECK(world.pace.prefillOverheadSeconds(engine) + 6'000 * world.pace.typicalSecondsPerToken(engine) < 0.08);
 }
 
 TEST_CASE("test_engine_that_turned_slow_is_known_for_it_and_forgiven")
@@ -131,7 +131,7 @@
     for (const auto engine : engines)
         sum += world.pace.slowness(engine, world.now);
     CHECK(sum / 6 == Approx(1).margin(0.1));
-    CHECK(world.pace.usualSecondsPerToken(engines.front()) == Approx(15e-6).epsilon(0.25));
+    CHECK(world.pace.typicalSecondsPerToken(engines.front()) == Approx(15e-6).epsilon(0.25));
 }
 
 TEST_CASE("test_new_engine_in_the_row_of_another_learns_anew")
@@ -148,6 +148,6 @@
     pace_world world;
     const auto engine = world.add("e1", target_role::decode);
     for (int i = 0; i < 300; ++i)
-        world.pace.wrote(engine, 10, i % 2 == 0 ? 40ms : 120ms); // read in between
+        world.pace.recordStreamEvent(engine, 10, i % 2 == 0 ? 40ms : 120ms); // read in between
     CHECK(world.pace.stepSeconds(engine) == Approx(0.0045).margin(0.0007));
 }
--- a/libs/serving/tests/test_fleet_table.cpp
+++ b/libs/serving/tests/test_fleet_table.cpp
@@ -11,22 +11,22 @@
 TEST_CASE("test_rows_of_a_service_are_those_that_are_listed")
 {
     fleet_table fleet("a");
-    const auto first = fleet.put(targetRecord("t1", "s", target_role::plain, 6));
-    const auto second = fleet.put(targetRecord("t2", "s", target_role::plain, 6));
-    fleet.put(targetRecord("t3", "other", target_role::plain, 6));
+    const auto first = fleet.upsert(targetRecord("t1", "s", target_role::plain, 6));
+    const auto second = fleet.upsert(targetRecord("t2", "s", target_role::plain, 6));
+    fleet.upsert(targetRecord("t3", "other", target_role::plain, 6));
     CHECK(fleet.rowsOf("s") == std::vector<std::uint32_t> { first.value, second.value });
     const auto before = fleet.generation();
-    fleet.put(targetRecord("t2", "s", target_role::plain, 6)); // the same again
+    fleet.upsert(targetRecord("t2", "s", target_role::plain, 6)); // the same again
     CHECK(fleet.generation() == before);
     CHECK(fleet.rowsOf("s").size() == 2);
-    fleet.put(targetRecord("t2", "other", target_role::plain, 6)); // it serves something else now
+    fleet.upsert(targetRecord("t2", "other", target_role::plain, 6)); // it serves something else now
     CHECK(fleet.rowsOf("s") == std::vector<std::uint32_t> { first.value });
     CHECK(fleet.rowsOf("other").size() == 2);
     fleet.remove("t1");
     fleet.remove("t1");
     CHECK(fleet.rowsOf("s").empty());
     CHECK(fleet.generation() > before);
-    CHECK(fleet.put(targetRecord("t4", "s", target_role::plain, 6)).value == first.value); // the row is used again
+    CHECK(fleet.upsert(targetRecord("t4", "s", target_role::plain, 6)).value == first.value); // the row is used again
 }
 
 TEST_CASE("test_peers_requests_add_up_whatever_comes_and_goes")
@@ -48,7 +48,7 @@
     for (instant now = at(0s); now < at(60s); now += 20ms) {
         if (targets.size() < 5 || random.below(20) == 0) {
             targets.push_back("t" + std::to_string(made++));
-            fleet.put(targetRecord(targets.back(), "s", target_role::plain, 6));
+            fleet.upsert(targetRecord(targets.back(), "s", target_role::plain, 6));
         } else if (random.below(20) == 0) {
             fleet.remove(targets.front());
             targets.erase(targets.begin());
@@ -60,7 +60,7 @@
                 if (random.below(2) == 0)
                     entries.push_back({ shortHash(target), static_cast<std::uint16_t>(random.below(5)) });
             }
-            peers.heard(peer, entries, now);
+            peers.update(peer, entries, now);
             last[peer] = { now, entries };
         }
         peers.refresh(now);
--- a/libs/serving/tests/test_load.cpp
+++ b/libs/serving/tests/test_load.cpp
@@ -67,7 +67,7 @@
     // Cause: a node learned only what changed while it was there. Nobody told: 13 million tokens read again and 0.806
     // of the long prompts' worth earned; told by a peer 4.3 million and 0.864.
     auto sheet = ahnenhausGrownFleet();
-    sheet.readingShare = 0.5;
+    sheet.prefillShare = 0.5;
     sheet.restarts = { { std::chrono::seconds(17), 0.9, true } };
     const auto played = play(sheet);
     CHECK(played.readAgain <= 6);
--- a/libs/serving/tests/test_plain_targets.cpp
+++ b/libs/serving/tests/test_plain_targets.cpp
@@ -151,7 +151,7 @@
         later(work, [this, call, index] {
             auto& target = m_targets[index];
             --target.running;
-            const told_load load { m_now, target.running + 1, static_cast<int>(target.waiting.size()), slots };
+            const reported_load load { m_now, target.running + 1, static_cast<int>(target.waiting.size()), slots };
             if (!target.waiting.empty()) {
                 const auto next = target.waiting.front();
                 target.waiting.pop_front();
--- a/libs/serving/tests/test_prompt_cache.cpp
+++ b/libs/serving/tests/test_prompt_cache.cpp
@@ -25,14 +25,14 @@
 {
     prompt_cache_map caches;
     const auto text = chained({ { 1, 2000 }, { 2, 3000 }, { 9, 500 } });
-    caches.told(engine, { { 2, 3000 } });
-    CHECK(caches.keptTokens(engine, text) == 0);
-    caches.told(engine, { { 1, 2000 } });
-    CHECK(caches.keptTokens(engine, text) == 5000);
-    caches.told(engine, { { 1, 1200 } });
-    CHECK(caches.keptTokens(engine, text) == 1200);
-    caches.told(engine, { { 1, 0 } });
-    CHECK(caches.keptTokens(engine, text) == 0);
+    caches.applyEvents(engine, { { 2, 3000 } });
+    CHECK(caches.reusableTokens(engine, text) == 0);
+    caches.applyEvents(engine, { { 1, 2000 } });
+    CHECK(caches.reusableTokens(engine, text) == 5000);
+    caches.applyEvents(engine, { { 1, 1200 } });
+    CHECK(caches.reusableTokens(engine, text) == 1200);
+    caches.applyEvents(engine, { { 1, 0 } });
+    CHECK(caches.reusableTokens(engine, text) == 0);
 }
 
 TEST_CASE("test_what_is_still_to_be_read_cannot_be_fetched")
@@ -42,21 +42,21 @@
     // beginning there, and finds nothing. Cause: what was sent to an engine is taken for what it has.
     prompt_cache_map caches;
     const auto text = chained({ { 1, 2000 }, { 9, 500 } });
-    caches.sent(engine, text);
-    CHECK(caches.keptTokens(engine, text) == 2000);
+    caches.addPendingPrompt(engine, text);
+    CHECK(caches.reusableTokens(engine, text) == 2000);
     CHECK(caches.fetchableTokens(engine, text) == 0);
-    caches.wasRead(engine, text);
+    caches.markCached(engine, text);
     CHECK(caches.fetchableTokens(engine, text) == 2000);
-    caches.sent(engine, text);
+    caches.addPendingPrompt(engine, text);
     CHECK(caches.fetchableTokens(engine, text) == 2000);
     caches.forget(engine);
-    CHECK(caches.keptTokens(engine, text) == 0);
+    CHECK(caches.reusableTokens(engine, text) == 0);
 }
 
 TEST_CASE("test_small_parts_are_not_followed_and_do_not_break_the_chain")
 {
     prompt_cache_map caches;
     const auto text = chained({ { 1, 50 }, { 2, 3000 }, { 9, 500 } });
-    caches.wasRead(engine, text);
-    CHECK(caches.keptTokens(engine, text) == 3000);
+    caches.markCached(engine, text);
+    CHECK(caches.reusableTokens(engine, text) == 3000);
 }
--- a/libs/serving/tests/test_role_split.cpp
+++ b/libs/serving/tests/test_role_split.cpp
@@ -19,28 +19,28 @@
     {
         for (int i = 0; i < count; ++i) {
             const auto role = i < readers ? target_role::prefill : target_role::decode;
-            fleet.put(targetRecord(prefix + std::to_string(i), "engines", role, 16, std::string(1, "abc"[i % 3])));
+            fleet.upsert(targetRecord(prefix + std::to_string(i), "engines", role, 16, std::string(1, "abc"[i % 3])));
         }
     }
 
     /// What is due once nothing has changed for a while.
     std::vector<role_change> settled(duration since, double readWait = 0.2)
     {
-        split.due(at(since), readWait);
-        return split.due(at(since + 2s), readWait);
+        split.dueChanges(at(since), readWait);
+        return split.dueChanges(at(since + 2s), readWait);
     }
 
     void makeBusy()
     {
         for (std::uint32_t row = 0; row < fleet.size(); ++row)
-            fleet.began({ row });
+            fleet.addRunning({ row });
     }
 
     void carryOut(const role_change& change)
     {
         auto record = targetRecord(fleet.instance[change.engine.value], "engines", change.role, 16);
         record.availabilityZone = fleet.zone[change.engine.value];
-        fleet.put(record);
+        fleet.upsert(record);
     }
 };
 
@@ -50,14 +50,14 @@
 {
     split_world world;
     world.add(18, 5);
-    CHECK(world.split.due(at(0s), 0.2).empty()); // the list may still be coming in
+    CHECK(world.split.dueChanges(at(0s), 0.2).empty()); // the list may still be coming in
     const auto changes = world.settled(0s);
     REQUIRE(changes.size() == 4); // half of 18
     std::set<std::uint32_t> engines;
     for (const auto& change : changes) {
         CHECK(change.role == target_role::prefill);
         engines.insert(change.engine.value);
-        world.split.ordered(change.engine, change.role, at(2s));
+        world.split.recordOrder(change.engine, change.role, at(2s));
     }
     CHECK(engines.size() == 4);
     CHECK(world.settled(3s).empty()); // they are under way
@@ -77,7 +77,7 @@
     const auto changes = world.settled(0s);
     REQUIRE(changes.size() == 4); // a tenth
     for (const auto& change : changes)
-        world.split.ordered(change.engine, change.role, at(2s));
+        world.split.recordOrder(change.engine, change.role, at(2s));
     CHECK(world.settled(3s).empty());
     for (const auto& change : changes)
         world.carryOut(change);
@@ -93,12 +93,12 @@
     world.add(3, 0);
     const auto changes = world.settled(0s);
     REQUIRE(changes.size() == 1);
-    world.split.ordered(changes.front().engine, changes.front().role, at(2s));
+    world.split.recordOrder(changes.front().engine, changes.front().role, at(2s));
     for (int second = 11; second < 20; ++second) {
         for (const auto& change : world.settled(std::chrono::seconds(second)))
             CHECK(change.engine != changes.front().engine);
     }
-    world.split.refused(changes.front().engine, at(20s));
+    world.split.recordRefusal(changes.front().engine, at(20s));
     CHECK(world.settled(21s).size() == 1);
 }
 
@@ -157,15 +157,15 @@
     std::vector<role_change> changes;
     for (int second = 0; second < 6 && changes.empty(); ++second) {
         const auto leaving = "e" + std::to_string(second);
-        world.fleet.put([&] {
+        world.fleet.upsert([&] {
             auto record = targetRecord(leaving, "engines", target_role::prefill, 16, "a");
             record.isDraining = true;
             return record;
         }());
         world.add(1, 0, "new" + std::to_string(second) + "-");
-        world.split.due(at(std::chrono::seconds(second)), 0.2);
+        world.split.dueChanges(at(std::chrono::seconds(second)), 0.2);
         world.fleet.remove(leaving);
-        changes = world.split.due(at(std::chrono::seconds(second) + 500ms), 0.2);
+        changes = world.split.dueChanges(at(std::chrono::seconds(second) + 500ms), 0.2);
     }
     REQUIRE_FALSE(changes.empty());
     CHECK(changes.front().role == target_role::prefill);
@@ -182,7 +182,7 @@
     CHECK(world.settled(0s).empty());
     auto leaving = targetRecord("e8", "engines", target_role::decode, 16, "c");
     leaving.isDraining = true;
-    world.fleet.put(leaving);
+    world.fleet.upsert(leaving);
     const auto changes = world.settled(3s);
     REQUIRE(changes.size() == 1);
     CHECK(changes.front().role == target_role::decode);
@@ -211,7 +211,7 @@
     const auto changes = world.settled(0s);
     REQUIRE(changes.size() == 12);
     for (const auto& change : changes) {
-        world.split.ordered(change.engine, change.role, at(2s));
+        world.split.recordOrder(change.engine, change.role, at(2s));
         world.carryOut(change);
     }
     CHECK(world.settled(10s).empty());
--- a/libs/serving/tests/test_target_health.cpp
+++ b/libs/serving/tests/test_target_health.cpp
@@ -134,13 +134,13 @@
 {
     fleet_table fleet("a");
     target_health health(fleet);
-    const auto id = fleet.put(targetRecord("p1", "plain", target_role::plain, 6));
+    const auto id = fleet.upsert(targetRecord("p1", "plain", target_role::plain, 6));
     CHECK(health.failureShare(id, at(0s)) == 0);
-    health.failed(id, at(0s));
+    health.recordFailure(id, at(0s));
     CHECK(health.failureShare(id, at(0s)) == Approx(0.2));
     CHECK(health.failureShare(id, at(3s)) == Approx(0.5 / 4.5));
-    health.succeeded(id, at(3s));
+    health.recordSuccess(id, at(3s));
     CHECK(health.failureShare(id, at(3s)) < 0.1);
-    CHECK(health.takeNews(at(3s)).size() == 1);
-    CHECK(health.takeNews(at(3s)).empty()); // told once
+    CHECK(health.takeReports(at(3s)).size() == 1);
+    CHECK(health.takeReports(at(3s)).empty()); // told once
 }
--- a/tools/bench/serving_bench.cpp
+++ b/tools/bench/serving_bench.cpp
@@ -40,7 +40,7 @@
     int nodes = 0; ///< 0: as the fleet's sheet says
     double length = 34;
     double loss = 0.1;
-    double readingShare = 0;
+    double prefillShare = 0;
     double restarts = 0;
     double load = 1;
     bool isUntold = false;
@@ -117,8 +117,8 @@
 
 fleet_sheet changed(fleet_sheet sheet, const bench_options& given)
 {
-    if (given.readingShare > 0)
-        sheet.readingShare = given.readingShare;
+    if (given.prefillShare > 0)
+        sheet.prefillShare = given.prefillShare;
     if (given.nodes > 0)
         sheet.nodes = given.nodes;
     if (given.keepsRoles)
@@ -206,7 +206,7 @@
     described.add_options()("seconds", options::value(&given.length), "length of each day");
     described.add_options()("load", options::value(&given.load), "times the usual one");
     described.add_options()("loss", options::value(&given.loss), "share of the engines lost for 2 s in the middle");
-    described.add_options()("reading-share", options::value(&given.readingShare),
+    described.add_options()("reading-share", options::value(&given.prefillShare),
         "of the engines read at the start; 0: as the fleet's sheet says");
     described.add_options()("nodes", options::value(&given.nodes), "that decide; 0: as the fleet's sheet says");
     described.add_options()("keep-roles", options::bool_switch(&given.keepsRoles), "no engine changes its role");
