--- a/libs/serving/include/serving/engine_pace.h
+++ b/libs/serving/include/serving/engine_pace.h
@@ -40,8 +40,8 @@
     /// The factor by which the engine's durations exceed those of its kind; 1 for a typical engine.
     double slowness(target_id id, instant now) const;
 
-    /// Records that a prompt was prefilled `elapsed` after it was sent. `otherSeconds` is the predicted part of that time, in
-    /// seconds, for jobs ahead of it and for fetching its prefix.
+    /// Records that a prompt was prefilled `elapsed` after it was sent. `otherSeconds` is the predicted part of that
+    /// time, in seconds, for jobs ahead of it and for fetching its prefix.
     void recordPrefill(target_id id, double work, double otherSeconds, duration elapsed, instant now);
     /// Records that the first event came `elapsed` after the request for a KV cache import was sent; `transfer` is the
     /// predicted part for the transfer, in seconds.
--- a/libs/serving/tests/test_fleet_table.cpp
+++ b/libs/serving/tests/test_fleet_table.cpp
@@ -1,4 +1,4 @@
-// Rows of targets, and the peers' requests counted in them.
+// Tests the rows of the fleet table and the sums of the peers' requests in it.
 #include "serving/peer_load.h"
 #include "serving_fixture.h"
 
@@ -16,35 +16,35 @@
     fleet.upsert(targetRecord("t3", "other", target_role::plain, 6));
     CHECK(fleet.rowsOf("s") == std::vector<std::uint32_t> { first.value, second.value });
     const auto before = fleet.generation();
-    fleet.upsert(targetRecord("t2", "s", target_role::plain, 6)); // the same again
+    fleet.upsert(targetRecord("t2", "s", target_role::plain, 6)); // no change
     CHECK(fleet.generation() == before);
     CHECK(fleet.rowsOf("s").size() == 2);
-    fleet.upsert(targetRecord("t2", "other", target_role::plain, 6)); // it serves something else now
+    fleet.upsert(targetRecord("t2", "other", target_role::plain, 6)); // the target now serves another service
     CHECK(fleet.rowsOf("s") == std::vector<std::uint32_t> { first.value });
     CHECK(fleet.rowsOf("other").size() == 2);
     fleet.remove("t1");
     fleet.remove("t1");
     CHECK(fleet.rowsOf("s").empty());
     CHECK(fleet.generation() > before);
-    CHECK(fleet.upsert(targetRecord("t4", "s", target_role::plain, 6)).value == first.value); // the row is used again
+    CHECK(fleet.upsert(targetRecord("t4", "s", target_role::plain, 6)).value == first.value); // the row is reused
 }
 
 TEST_CASE("test_peers_requests_add_up_whatever_comes_and_goes")
 {
-    // Symptom: a target looks busy for ever, or idle while it is full.
-    // Sequence: peers tell their loads in any order, fall silent, and targets go and their rows are used again.
-    // Cause: sums that are kept by what each heartbeat changes, and a change that is taken off another row.
+    // Peers report their loads in any order and fall silent, and targets are removed and their rows reused. A sum that
+    // is kept by differences drifts if a difference is subtracted from a row that belongs to another target by then;
+    // the target then looks busy for ever, or idle while it is full.
     random_source random(11);
     fleet_table fleet("a");
-    const duration life = 600ms;
-    peer_load peers(fleet, life);
+    const duration timeToLive = 600ms;
+    peer_load peers(fleet, timeToLive);
     int made = 0;
     std::vector<std::string> targets;
-    struct told {
+    struct last_report {
         instant at;
         std::vector<load_entry> entries;
     };
-    std::map<std::string, told> last;
+    std::map<std::string, last_report> last;
     for (instant now = at(0s); now < at(60s); now += 20ms) {
         if (targets.size() < 5 || random.below(20) == 0) {
             targets.push_back("t" + std::to_string(made++));
@@ -71,7 +71,7 @@
         int expected = 0;
         for (const auto& [peer, item] : last) {
             for (const auto& entry : item.entries)
-                expected += end + 100ms < item.at + life && entry.target == shortHash(target) ? entry.running : 0;
+                expected += end + 100ms < item.at + timeToLive && entry.target == shortHash(target) ? entry.running : 0;
         }
         CHECK(fleet.peersRunning[fleet.find(target).value] == expected);
     }
--- a/libs/serving/tests/test_load.cpp
+++ b/libs/serving/tests/test_load.cpp
@@ -1,4 +1,5 @@
-// Plays the users' loads on the decisions of all nodes, and checks what callers get.
+// Runs the load profiles of deployments against the decisions of all nodes of a model fleet, and checks what callers
+// get.
 #include "random_fleets.h"
 #include "users_fleets.h"
 
@@ -13,74 +14,70 @@
 constexpr std::size_t longPrompts = 0;
 constexpr std::size_t smallPrompts = 1;
 
-struct played_load {
-    double longEarned = 0; ///< of what was owed
+struct load_result {
+    double longEarned = 0; ///< as a share of what was owed
     double smallEarned = 0;
-    double readAgain = 0; ///< million tokens of beginnings
+    double millionTokensRecomputed = 0; ///< tokens of shared parts, in millions
 };
 
-/// Two days of 34 s; the swings of the mix as on the users' days.
-played_load play(const fleet_sheet& sheet)
+/// Two runs of 34 s, with the swings of the mix of the load profile.
+load_result play(const fleet_sheet& sheet)
 {
-    played_load sum;
+    load_result sum;
     for (std::uint64_t seed = 1; seed <= 2; ++seed) {
         const auto result = fleet_model(sheet, seed).run(std::chrono::seconds(34));
         sum.longEarned += result.kinds[longPrompts].earned / result.kinds[longPrompts].owed / 2;
         sum.smallEarned += result.kinds[smallPrompts].earned / result.kinds[smallPrompts].owed / 2;
-        sum.readAgain += result.beginningsReadAgain / 1e6;
+        sum.millionTokensRecomputed += result.beginningsReadAgain / 1e6;
     }
     std::printf("earned: long %.4f, small %.4f; %.2f million tokens read again\n", sum.longEarned, sum.smallEarned,
-        sum.readAgain);
+        sum.millionTokensRecomputed);
     return sum;
 }
 
 }
 
-TEST_CASE("test_beginnings_stay_in_the_engines_memory_under_load")
+TEST_CASE("test_prefixes_stay_cached_under_load")
 {
-    // Symptom: a quarter of the engines' reading is of beginnings that they had read some seconds before.
-    // Sequence: requests go to whichever engine is idle, which fetches the beginning from another one.
-    // Cause: each copy takes the place of another beginning, until the last copy of one is gone.
-    // With a copy taken for nearly free 0.753 of the long prompts' worth was earned, and 8.5 million tokens were read
-    // again; with its place in memory counted 0.784 and 6.1 million.
+    // Requests go to whichever engine is idle, which fetches the prefix from another engine. If the place of each copy
+    // in the cache costs nothing, copies evict other prefixes until the last copy of one is gone, and a quarter of the
+    // prefill is of prefixes that had been cached some seconds before. With copies nearly free, 0.753 of the long
+    // prompts' value was earned and 8.5 million tokens were prefilled again; with the place counted 0.784 and 6.1
+    // million.
     const auto played = play(ahnenhausGrownFleet());
-    CHECK(played.readAgain <= 7);
+    CHECK(played.millionTokensRecomputed <= 7);
     CHECK(played.longEarned >= 0.77);
 }
 
-TEST_CASE("test_engines_pace_is_learned_although_each_node_seldom_meets_an_idle_one")
+TEST_CASE("test_pace_is_learned_although_each_node_seldom_finds_an_idle_engine")
 {
-    // Symptom: with many nodes, prompts wait behind longer ones that were thought not to have begun, and small ones are
-    // late in crowds.
-    // Sequence: each node sends an engine a prompt now and then, mostly while others are read there.
-    // Cause: a node learned the pace of an engine only from prompts that had that engine to themselves, of which there
-    // were one or two in half a minute; until then it took engines for a third slower than they are.
-    // Each engine by itself: 0.905 of the small prompts' worth earned; all of a kind together: 0.956.
+    // Each node sends an engine a prompt now and then, mostly while others are prefilled there. If only prompts that
+    // had the engine to themselves counted, one or two in half a minute, a node would take engines for a third slower
+    // than they are; prompts would wait behind longer ones that are taken for not started, and small ones would be late
+    // under load. With estimates by engine 0.905 of the small prompts' value was earned; with estimates by kind 0.956.
     const auto played = play(ahnenhausGrownFleet());
     CHECK(played.smallEarned >= 0.94);
 }
 
-TEST_CASE("test_nodes_that_start_anew_learn_what_engines_keep")
+TEST_CASE("test_restarted_nodes_learn_which_parts_engines_have_cached")
 {
-    // Symptom: for the rest of the day after a restart of the nodes, beginnings that the fleet keeps are read again.
-    // Sequence: most nodes are started anew, one after the other or at once; none of them has seen the events before.
-    // Cause: a node learned only what changed while it was there. Nobody told: 13 million tokens read again and 0.806
-    // of the long prompts' worth earned; told by a peer 4.3 million and 0.864.
+    // Most nodes restart, one after the other or at once, and none of the new ones has received the earlier cache
+    // events. If a node learned only later changes, prefixes that the fleet has cached would be prefilled again for the
+    // rest of the run. Without a snapshot from a peer 13 million tokens were prefilled again and 0.806 of the long
+    // prompts' value was earned; with one 4.3 million and 0.864.
     auto sheet = ahnenhausGrownFleet();
     sheet.prefillShare = 0.5;
     sheet.restarts = { { std::chrono::seconds(17), 0.9, true } };
     const auto played = play(sheet);
-    CHECK(played.readAgain <= 6);
+    CHECK(played.millionTokensRecomputed <= 6);
     CHECK(played.longEarned >= 0.85);
 }
 
-TEST_CASE("test_streams_stay_smooth_while_many_small_prompts_are_read")
+TEST_CASE("test_streams_stay_smooth_while_many_small_prompts_are_prefilled")
 {
-    // Symptom: half of all streams pause for too long although no engine is short of time.
-    // Sequence: small prompts, each of which makes no pause by itself, are read at the engines that write; several fall
-    // into the time of one event.
-    // Cause: each prompt was asked alone whether it makes a pause, and never what the engine reads for others.
-    // Streams that paused for too long: 0.46 of all, of the small prompts 0.55; with the sum counted 0.35 at most.
+    // Small prompts, none of which makes a pause by itself, are prefilled at decoding engines, and several fall into
+    // the time of one event. If each prompt is checked alone, half of all streams pause for too long although no engine
+    // is overloaded: 0.46 of all, and 0.55 of those of small prompts. With the sum counted it is 0.35 at most.
     fleet_result sum;
     for (std::uint64_t seed = 1; seed <= 2; ++seed) {
         auto sheet = larrainFleet();
@@ -98,14 +95,13 @@
     }
 }
 
-TEST_CASE("test_streams_stay_smooth_when_readers_are_short")
+TEST_CASE("test_streams_stay_smooth_when_prefill_engines_are_short")
 {
-    // Symptom: in the crowded turn of the mix nearly every stream pauses for too long.
-    // Sequence: prompts that would be late at the engines that read are read where answers are written, each to be in
-    // time itself; some twenty streams there pause for it.
-    // Cause: making all streams of an engine pause weighed half as much as one late request.
-    // A quarter more than the usual load, streams of long prompts that paused for too long: 0.22 of all; weighed by
-    // their number 0.13, and no more of them were late for the first event.
+    // In the most loaded phase prompts that would be late at the prefill engines are prefilled at decoding engines,
+    // each to be in time itself, and some twenty streams there pause for it. If the pauses of all streams of an engine
+    // cost half as much as one late request, nearly every stream pauses for too long in that phase. At 1.25 times the
+    // usual load 0.22 of the streams of long prompts paused for too long; with the pauses weighed by the number of
+    // streams 0.13, and no more of them were late for the first event.
     std::int64_t asked = 0;
     std::int64_t paused = 0;
     for (std::uint64_t seed = 1; seed <= 2; ++seed) {
@@ -123,10 +119,10 @@
 
 TEST_CASE("test_many_nodes_use_their_connections_to_many_engines_again")
 {
-    // Symptom: more than one new connection for every two requests, each of which an engine has to take.
-    // Sequence: 77 nodes before 140 engines; each pair meets once in some seconds, and what is kept has lapsed by then.
-    // Cause: of engines that are alike the one to which a connection is kept was taken no more often than the others.
-    // 1.38 connections for each request; where a kept one counts for a little 0.70, and as much is earned.
+    // With 77 nodes and 140 engines each pair meets once in some seconds, and idle connections have expired by then. If
+    // engines with an idle connection are not preferred among otherwise equal ones, every two requests need more than
+    // one new connection, which is work for the engine. It took 1.38 connections for each request; with a small
+    // preference 0.70, and as much was earned.
     const auto result = fleet_model(larrainGrownFleet(), 1).run(std::chrono::seconds(20));
     std::int64_t asked = 0;
     for (const auto& kind : result.kinds)
--- a/libs/serving/tests/test_prompt_cache.cpp
+++ b/libs/serving/tests/test_prompt_cache.cpp
@@ -1,4 +1,4 @@
-// What engines are thought to keep.
+// Tests which parts of prompts engines are expected to have cached.
 #include "serving_fixture.h"
 
 using namespace tamarack;
@@ -35,11 +35,11 @@
     CHECK(caches.reusableTokens(engine, text) == 0);
 }
 
-TEST_CASE("test_what_is_still_to_be_read_cannot_be_fetched")
+TEST_CASE("test_pending_parts_cannot_be_fetched")
 {
-    // Symptom: engines read a beginning again although another one was named to fetch it from.
-    // Sequence: a prompt is sent to a busy engine; before its turn comes, a second engine is told to fetch the
-    // beginning there, and finds nothing. Cause: what was sent to an engine is taken for what it has.
+    // A prompt is sent to a busy engine. Before it is prefilled there, a second engine is asked to fetch the prefix
+    // from the first one and finds nothing. If pending parts counted as cached, engines would prefill a prefix again
+    // although a source was named.
     prompt_cache_map caches;
     const auto text = chained({ { 1, 2000 }, { 9, 500 } });
     caches.addPendingPrompt(engine, text);
--- a/libs/serving/tests/test_role_split.cpp
+++ b/libs/serving/tests/test_role_split.cpp
@@ -1,4 +1,4 @@
-// Which engines change their role, and when.
+// Tests which engines change their role, and when.
 #include "serving/role_split.h"
 
 #include "serving_fixture.h"
@@ -15,19 +15,19 @@
     fleet_table fleet { "a" };
     role_split split { fleet, { 0.5 } };
 
-    void add(int count, int readers, const std::string& prefix = "e")
+    void add(int count, int prefillEngines, const std::string& prefix = "e")
     {
         for (int i = 0; i < count; ++i) {
-            const auto role = i < readers ? target_role::prefill : target_role::decode;
+            const auto role = i < prefillEngines ? target_role::prefill : target_role::decode;
             fleet.upsert(targetRecord(prefix + std::to_string(i), "engines", role, 16, std::string(1, "abc"[i % 3])));
         }
     }
 
-    /// What is due once nothing has changed for a while.
-    std::vector<role_change> settled(duration since, double readWait = 0.2)
+    /// The changes that are due after the fleet has not changed for a while.
+    std::vector<role_change> settled(duration since, double prefillWaitSeconds = 0.2)
     {
-        split.dueChanges(at(since), readWait);
-        return split.dueChanges(at(since + 2s), readWait);
+        split.dueChanges(at(since), prefillWaitSeconds);
+        return split.dueChanges(at(since + 2s), prefillWaitSeconds);
     }
 
     void makeBusy()
@@ -50,7 +50,7 @@
 {
     split_world world;
     world.add(18, 5);
-    CHECK(world.split.dueChanges(at(0s), 0.2).empty()); // the list may still be coming in
+    CHECK(world.split.dueChanges(at(0s), 0.2).empty()); // the target list may still be incomplete
     const auto changes = world.settled(0s);
     REQUIRE(changes.size() == 4); // half of 18
     std::set<std::uint32_t> engines;
@@ -60,7 +60,7 @@
         world.split.recordOrder(change.engine, change.role, at(2s));
     }
     CHECK(engines.size() == 4);
-    CHECK(world.settled(3s).empty()); // they are under way
+    CHECK(world.settled(3s).empty()); // the changes are in progress
     for (const auto& change : changes)
         world.carryOut(change);
     CHECK(world.settled(6s).empty());
@@ -68,9 +68,8 @@
 
 TEST_CASE("test_engines_at_work_change_few_at_a_time")
 {
-    // Symptom: answers are late for some seconds after engines were replaced.
-    // Sequence: many engines get the same order at once, and each is away for 3 s.
-    // Cause: what is missing is made good without looking at what is left meanwhile.
+    // Each engine that changes its role is out of service for 3 s. If all missing engines of a role were ordered at
+    // once, too few would be left meanwhile, and answers would be late for some seconds after engines were replaced.
     split_world world;
     world.add(40, 8);
     world.makeBusy();
@@ -86,9 +85,8 @@
 
 TEST_CASE("test_engine_whose_order_was_not_answered_gets_no_other_soon")
 {
-    // Symptom: an engine changes its role twice, seconds after each other.
-    // Sequence: an order gets no answer, another one is given, and then the first is carried out.
-    // Cause: an order without an answer was taken for one without effect.
+    // An order gets no answer, another one is given, and then the first is carried out. If an order without an answer
+    // counted as one without effect, an engine would change its role twice within seconds.
     split_world world;
     world.add(3, 0);
     const auto changes = world.settled(0s);
@@ -102,7 +100,7 @@
     CHECK(world.settled(21s).size() == 1);
 }
 
-TEST_CASE("test_new_engines_are_changed_before_those_with_full_memories")
+TEST_CASE("test_new_engines_are_changed_before_those_with_full_caches")
 {
     split_world world;
     world.add(10, 5);
@@ -114,7 +112,7 @@
     CHECK(world.fleet.instance[changes.front().engine.value].starts_with("new"));
 }
 
-TEST_CASE("test_split_stays_when_writers_are_away_for_some_seconds")
+TEST_CASE("test_split_stays_when_decode_engines_are_away_for_some_seconds")
 {
     split_world world;
     world.add(20, 10);
@@ -129,11 +127,10 @@
     CHECK(changes.front().role == target_role::decode);
 }
 
-TEST_CASE("test_split_stays_when_readers_crash")
+TEST_CASE("test_split_stays_when_prefill_engines_crash")
 {
-    // Symptom: engines change to reading and back within ten seconds.
-    // Sequence: two of five readers crash at work, and are back 5 s later.
-    // Cause: what is away was made good at once.
+    // Two of five prefill engines crash under load and are back 5 s later. If they were replaced at once, engines would
+    // change to prefill and back within ten seconds.
     split_world world;
     world.add(9, 5);
     world.makeBusy();
@@ -147,10 +144,9 @@
 
 TEST_CASE("test_split_is_made_right_while_engines_are_replaced")
 {
-    // Symptom: for half a minute, while half of the engines are replaced one after the other, readers are short and
-    // nobody changes a role.
-    // Sequence: each second a reader that said so leaves and a new engine comes that writes.
-    // Cause: a shortage had to stay the same for a while, and it is another one with each engine.
+    // Every second an announced prefill engine leaves and a new engine comes that decodes. If a shortage had to stay
+    // the same for a while, it would be a new one with each engine, and nothing would change for the half minute in
+    // which half of the engines are replaced, while prefill engines are short.
     split_world world;
     world.add(18, 9);
     world.makeBusy();
@@ -171,11 +167,10 @@
     CHECK(changes.front().role == target_role::prefill);
 }
 
-TEST_CASE("test_reader_writes_again_when_a_writer_leaves_for_good")
+TEST_CASE("test_prefill_engine_decodes_again_when_a_decode_engine_leaves")
 {
-    // Symptom: long answers take longer than their callers wait.
-    // Sequence: of 4 engines that write beside 5 that read, one says that it leaves.
-    // Cause: one reader too many was taken for none, since in a large fleet it is none.
+    // Of 4 decode engines beside 5 prefill engines one announces that it leaves. If one prefill engine too many were
+    // tolerated as in a large fleet, long answers would take longer than their callers wait.
     split_world world;
     world.add(9, 5);
     world.makeBusy();
@@ -188,11 +183,10 @@
     CHECK(changes.front().role == target_role::decode);
 }
 
-TEST_CASE("test_two_engines_always_write")
+TEST_CASE("test_two_engines_always_decode")
 {
-    // Symptom: no request is answered although most engines work.
-    // Sequence: of three engines two read; the third one hangs.
-    // Cause: a split by shares alone.
+    // Of three engines two prefill and the third one hangs. With a split by shares alone no request would be answered
+    // although most engines work.
     for (int engines = 1; engines <= 6; ++engines) {
         split_world world;
         world.add(engines, 0);
@@ -203,9 +197,8 @@
 
 TEST_CASE("test_few_engines_change_before_there_is_any_load")
 {
-    // Symptom: engines are away at the start of a day, and nobody needed them in their new role.
-    // Sequence: a fleet of hundreds of engines starts before a light load.
-    // Cause: the split was made right at once, whatever it brings.
+    // A fleet of hundreds of engines starts before a light load. If the split were corrected at once, engines would be
+    // out of service at the start although nothing needs them in their new role.
     split_world world;
     world.add(300, 100);
     const auto changes = world.settled(0s);
@@ -216,6 +209,6 @@
     }
     CHECK(world.settled(10s).empty());
     world.makeBusy();
-    CHECK(world.settled(30s, 0.0).empty()); // nothing waits for readers
+    CHECK(world.settled(30s, 0.0).empty()); // nothing waits for prefill engines
     CHECK(world.settled(40s, 0.2).size() == 30);
 }
--- a/libs/serving/tests/test_target_health.cpp
+++ b/libs/serving/tests/test_target_health.cpp
@@ -1,4 +1,4 @@
-// What targets' failures do to the choice among them.
+// Tests how failures of targets affect the choice among them.
 #include "serving/target_health.h"
 
 #include "base/random_source.h"
@@ -15,17 +15,17 @@
 
 struct lost_answers {
     int asked = 0;
-    int lost = 0; ///< while two of the targets lose answers
-    int atFailing = 0; ///< of those asked after that, at the targets that had failed
+    int lost = 0; ///< answers lost while two of the targets lose answers
+    int atFailing = 0; ///< requests sent after that to the targets that had failed
     int askedAfter = 0;
 };
 
-/// Nodes in three zones before three targets, one in each; two of the targets lose 30% of their answers from 10 s to
-/// 20 s. Each node tells the others five times a second what it saw.
+/// Nodes in three availability zones, and one target in each. Two of the targets lose 30% of their answers from 10 s to
+/// 20 s. Each node reports its outcomes to the others five times a second.
 class failing_targets {
 public:
-    failing_targets(std::size_t nodes, bool arePeersTold)
-        : m_arePeersTold(arePeersTold)
+    failing_targets(std::size_t nodes, bool arePeersNotified)
+        : m_arePeersNotified(arePeersNotified)
     {
         for (std::size_t node = 0; node < nodes; ++node) {
             auto settings = dispatch_world::settings();
@@ -48,8 +48,8 @@
             }
             if (m_random.unit() < perSecond * seconds(step))
                 ask(m_random.below(m_nodes.size()));
-            if (m_arePeersTold && (m_now - at(0s)) % 200ms == 0ms)
-                tell();
+            if (m_arePeersNotified && (m_now - at(0s)) % 200ms == 0ms)
+                exchangeReports();
         }
         return m_result;
     }
@@ -91,18 +91,18 @@
             end.request, end.start.attempt, isLost ? attempt_result::broken : attempt_result::answered, {}, m_now, out);
     }
 
-    void tell()
+    void exchangeReports()
     {
-        for (auto& teller : m_nodes) {
-            const auto news = teller->decisions.takeHealthNews(m_now);
-            for (auto& hearer : m_nodes) {
-                if (hearer != teller)
-                    hearer->decisions.peerSaw(news, m_now);
+        for (auto& sender : m_nodes) {
+            const auto reports = sender->decisions.takeHealthNews(m_now);
+            for (auto& receiver : m_nodes) {
+                if (receiver != sender)
+                    receiver->decisions.peerSaw(reports, m_now);
             }
         }
     }
 
-    bool m_arePeersTold;
+    bool m_arePeersNotified;
     random_source m_random { 7 };
     instant m_now;
     std::vector<std::unique_ptr<dispatch_world>> m_nodes;
@@ -114,20 +114,19 @@
 
 TEST_CASE("test_targets_that_lose_answers_are_left_by_all_nodes")
 {
-    // Symptom: for ten seconds 3 of 20 calls that may run only once end with an unknown outcome.
-    // Sequence: two of three targets lose a third of their answers; the third one has room for all calls.
-    // Cause: a failure share over the last 20 answers, of each node by itself, which sees a few answers a second.
-    // Lost of 450 calls at 9 nodes: 36 before, 9 since peers tell each other and a lost answer counts for
-    // more than a wait; of 2,000 calls at 82 nodes: 237 and 11.
+    // Two of three targets lose a third of their answers, and the third one has capacity for all calls. With a failure
+    // share over the last 20 answers of each node by itself, which sees a few answers a second, 3 of 20 calls that may
+    // run only once end with an unknown outcome for ten seconds. Of 450 calls at 9 nodes 36 were lost that way, and 9
+    // with reports to peers and a lost answer that costs more than a wait; of 2,000 calls at 82 nodes 237 and 11.
     const auto played = failing_targets(9, true).run(45);
     std::printf(
         "%d lost, %d of %d at the failing targets afterwards\n", played.lost, played.atFailing, played.askedAfter);
     CHECK(played.lost <= 15);
-    CHECK(played.atFailing * 3 > played.askedAfter); // used again when they are sound
+    CHECK(played.atFailing * 3 > played.askedAfter); // used again after they have recovered
     const auto many = failing_targets(82, true).run(200);
-    const auto untold = failing_targets(82, false).run(200);
-    std::printf("82 nodes: %d lost, %d if peers are not told\n", many.lost, untold.lost);
-    CHECK(many.lost * 2 < untold.lost);
+    const auto withoutReports = failing_targets(82, false).run(200);
+    std::printf("82 nodes: %d lost, %d if peers are not told\n", many.lost, withoutReports.lost);
+    CHECK(many.lost * 2 < withoutReports.lost);
 }
 
 TEST_CASE("test_share_of_failures_fades_by_time")
@@ -142,5 +141,5 @@
     health.recordSuccess(id, at(3s));
     CHECK(health.failureShare(id, at(3s)) < 0.1);
     CHECK(health.takeReports(at(3s)).size() == 1);
-    CHECK(health.takeReports(at(3s)).empty()); // told once
+    CHECK(health.takeReports(at(3s)).empty()); // reported once
 }
