--- a/libs/serving/include/serving/dispatcher.h
+++ b/libs/serving/include/serving/dispatcher.h
@@ -4,9 +4,9 @@
 
 #include "serving/peer_load.h"
 #include "serving/placement.h"
-#include "serving/request_book.h"
 #include "serving/retry_limiter.h"
 
+#include "serving/in_flight_requests.h"
 #include <map>
 #include <string>
 #include <vector>
@@ -36,16 +36,16 @@
     void updatePeerLoad(const std::string& peer, const std::vector<load_entry>& load, instant now);
     /// Records prompts that a peer sent to engines. The peer is given as shortHash() of its VM. With `isAll`, the list
     /// is complete and replaces earlier reports.
-    void updatePeerJobs(std::uint32_t peer, const std::vector<told_job>& jobs, bool isAll, instant now);
+    void updatePeerJobs(std::uint32_t peer, const std::vector<prefill_report>& jobs, bool isAll, instant now);
     /// The engine is changing its role. It receives no new work before `until`, unless it is listed with the new role
     /// earlier.
-    void roleChanging(target_id engine, instant until) { m_fleet.changingUntil[engine.value] = until; }
+    void roleChanging(target_id engine, instant until) { m_fleet.roleChangeUntil[engine.value] = until; }
     /// Sets the time without an update after which load reported by a peer expires.
-    void setPeerLoadExpiry(duration expiry) { m_peers.setLife(expiry); }
+    void setPeerLoadExpiry(duration expiry) { m_peers.setTimeToLive(expiry); }
     /// Records the outcomes of a peer's attempts.
-    void updatePeerHealth(const std::vector<health_news>& news, instant now);
+    void updatePeerHealth(const std::vector<health_report>& news, instant now);
     /// Outcomes of this node's attempts since the last call, to be sent to the peers.
-    std::vector<health_news> takeHealthReports(instant now) { return m_health.takeNews(now); }
+    std::vector<health_report> takeHealthReports(instant now) { return m_health.takeReports(now); }
     /// Sets the number of known nodes, reachable or not, including this one. 0 if the number is unknown.
     void setKnownNodes(int nodes);
 
@@ -66,26 +66,32 @@
     void tick(instant now, command_list& out);
 
     bool isCurrent(request_id request, attempt_id attempt) const;
-    void updateTargetLoad(target_id target, const told_load& load) { m_fleet.told[target.value] = load; }
-    void applyCacheEvents(target_id engine, const std::vector<cache_event>& events) { m_caches.told(engine, events); }
-    void replaceCacheParts(target_id engine, const std::vector<cache_event>& parts) { m_caches.listed(engine, parts); }
-    std::vector<prompt_part> cachedParts(target_id engine) const { return m_caches.partsThere(engine); }
+    void updateTargetLoad(target_id target, const reported_load& load) { m_fleet.reportedLoad[target.value] = load; }
+    void applyCacheEvents(target_id engine, const std::vector<cache_event>& events)
+    {
+        m_caches.applyEvents(engine, events);
+    }
+    void replaceCacheParts(target_id engine, const std::vector<cache_event>& parts)
+    {
+        m_caches.replaceParts(engine, parts);
+    }
+    std::vector<prompt_part> cachedParts(target_id engine) const { return m_caches.cachedParts(engine); }
     void forgetCache(target_id engine) { m_caches.forget(engine); }
     /// An attempt has left an idle connection to the target, which may be reused until then.
-    void connectionKept(target_id target, instant until) { m_connections.kept(target, until); }
+    void connectionKept(target_id target, instant until) { m_connections.add(target, until); }
     std::vector<health_change> takeHealthChanges() { return m_health.takeChanges(); }
     const fleet_table& fleet() const { return m_fleet; }
-    std::vector<load_entry> ownLoad() const { return m_peers.own(); }
-    std::vector<told_job> ownJobs(instant now) const { return m_queues.own(now); }
+    std::vector<load_entry> ownLoad() const { return m_peers.localLoad(); }
+    std::vector<prefill_report> ownJobs(instant now) const { return m_queues.localReports(now); }
     /// Prompts sent to engines since the last call, to be reported to the peers.
-    std::vector<told_job> takeNewJobs(instant now) { return m_queues.takeNew(now); }
+    std::vector<prefill_report> takeNewJobs(instant now) { return m_queues.takeNewReports(now); }
     /// Moving average of the time that long prompts wait at prefill-only engines, in seconds.
     double prefillWaitSeconds() const { return m_prefillWaitSeconds; }
     std::size_t held() const { return m_book.held(); }
     std::size_t waiting() const { return m_waiting.size(); }
 
 private:
-    placement_need needOf(std::size_t row, instant now) const;
+    placement_query needOf(std::size_t row, instant now) const;
     /// Ends the prefill accounting of the current attempt. `wasRead` says whether the prompt was prefilled.
     void finishPrefill(std::size_t row, instant now, bool wasRead);
     retry_limiter& retryLimiterOf(const std::string& service);
@@ -118,13 +124,13 @@
     fleet_table m_fleet;
     peer_load m_peers;
     engine_pace m_pace;
-    read_queues m_queues;
+    prefill_queues m_queues;
     prompt_cache_map m_caches;
     target_health m_health;
-    kept_connections m_connections;
+    idle_connections m_connections;
     placement m_placement;
     random_source m_random;
-    request_book m_book;
+    in_flight_requests m_book;
     retry_bound m_retryBound;
     instant m_startedAt;
     std::map<std::string, retry_limiter> m_retryLimiters; // by service
