--- a/libs/gateway/include/gateway/caller_protocol.h
+++ b/libs/gateway/include/gateway/caller_protocol.h
@@ -1,4 +1,5 @@
-// The port to callers: their HTTP to typed messages and back. Implemented for each kind of wire.
+// Interface between the gateway and the callers' wire protocol: decodes HTTP requests into typed messages and encodes
+// the responses. Each wire protocol has its own implementation.
 #pragma once
 
 #include "base/error_kind.h"
@@ -13,29 +14,30 @@
 
 namespace tamarack {
 
-/// What a caller's request says, decoded once.
+/// A caller's request, decoded once on arrival.
 struct caller_request {
-    std::string id; ///< unique for each try of the caller
+    std::string id; ///< unique for each attempt of the caller
     std::string host;
     std::string path;
-    std::optional<duration> patience; ///< how long the caller waits
-    std::optional<serving::prompt> text; ///< of requests that carry a prompt
-    std::string lastEventId; ///< the caller resumes a stream after this event; empty: from its start
+    std::optional<duration> timeLeft; ///< time until the caller's deadline; empty if the caller sent none
+    std::optional<serving::prompt> text; ///< set for requests that carry a prompt
+    std::string
+        lastEventId; ///< id of the last event the caller received of a stream it resumes; empty: the stream starts anew
 };
 
-/// What is wrong with a request, naming the header or field.
+/// Reason why a request cannot be decoded; names the header or field.
 struct request_fault {
     std::string detail;
 };
 
-/// A caller asks where to connect.
-struct entry_question {
-    std::string availabilityZone; ///< the caller's; empty if it did not say
+/// Request for the addresses of nodes that accept callers.
+struct entry_query {
+    std::string availabilityZone; ///< the caller's; empty if the request names none
 };
 
 struct entry_answer {
     std::vector<std::string> addresses; ///< `ip:port`
-    duration lifetime = duration::zero(); ///< for which callers may keep it
+    duration lifetime = duration::zero(); ///< how long callers may cache the answer
 };
 
 class caller_protocol {
@@ -43,11 +45,11 @@
     virtual ~caller_protocol() = default;
     virtual std::variant<caller_request, request_fault> decode(const http_request& request) const = 0;
     virtual http_response refusal(error_kind kind, std::string_view detail, duration retryAfter) const = 0;
-    /// Empty if the request is not this question.
-    virtual std::optional<entry_question> decodeEntryQuestion(const http_request& request) const = 0;
+    /// Returns nothing if the request does not ask for entry addresses.
+    virtual std::optional<entry_query> decodeEntryQuery(const http_request& request) const = 0;
     virtual http_response entries(const entry_answer& answer) const = 0;
-    /// Whether the request asks if this node is ready.
-    virtual bool isReadyQuestion(const http_request& request) const = 0;
+    /// Whether the request is a readiness probe for this node.
+    virtual bool isReadinessProbe(const http_request& request) const = 0;
 };
 
 }
--- a/libs/gateway/include/gateway/gateway.h
+++ b/libs/gateway/include/gateway/gateway.h
@@ -1,4 +1,5 @@
-// A node before registered targets: takes callers' requests, places them, and shares what it knows with its peers.
+// A node of the serving system: accepts callers' requests, routes them to registered targets and shares its view of the
+// fleet with its peer nodes.
 #pragma once
 
 #include "gateway/caller_protocol.h"
@@ -13,7 +14,7 @@
 
 namespace tamarack {
 
-/// The implementations of the gateway's ports; they outlive it.
+/// The protocol and store implementations that the gateway uses. They must outlive it.
 struct gateway_ports {
     const caller_protocol& callers;
     const target_protocol& targets;
@@ -21,20 +22,21 @@
     keyed_log& store;
 };
 
-/// Threading: everything happens on the event loop's thread.
+/// Not thread-safe: all calls and callbacks run on the event loop's thread.
 class gateway {
 public:
-    /// `onStopped` is called once, after a drain.
+    /// `onStopped` is called once, when the drain has finished.
     gateway(gateway_settings settings, gateway_ports ports, http_client& client, std::function<void()> onStopped);
     ~gateway();
     gateway(const gateway&) = delete;
     gateway& operator=(const gateway&) = delete;
 
-    /// Empty, or why it cannot start.
+    /// Starts listening and joins the system. Returns an empty string, or the reason for the failure.
     std::string start();
-    /// Takes bounds, seeds and limits that have changed; where it listens stays as it is.
+    /// Applies changed time bounds, seeds and limits. Listening addresses do not change.
     void reconfigure(const gateway_settings& settings);
-    /// Leaves gracefully: out of the entry addresses first, then no new connections, then the end.
+    /// Shuts down gracefully: first removes the node from the entry addresses, then refuses new connections, then
+    /// stops.
     void drain();
 
 private:
--- a/libs/gateway/include/gateway/gateway_settings.h
+++ b/libs/gateway/include/gateway/gateway_settings.h
@@ -1,4 +1,4 @@
-// What a gateway process is told when it starts.
+// Settings of a gateway process, fixed at its start.
 #pragma once
 
 #include "base/clock.h"
@@ -10,31 +10,34 @@
 namespace tamarack {
 
 struct gateway_settings {
-    std::string vm; ///< this VM's name; unique among the nodes
+    std::string vm; ///< name of this VM; unique among the nodes
     std::string region;
     std::string availabilityZone;
-    endpoint callers; ///< where callers' requests are taken
-    endpoint ready; ///< where the platform asks whether the node is ready
-    endpoint entries; ///< where callers ask for addresses
-    endpoint admin; ///< for peers' first contact; port 0: none
-    endpoint metrics; ///< port 0: none
-    endpoint peers; ///< UDP and TCP between nodes
-    std::vector<endpoint> seeds; ///< admin addresses of some nodes; they may be gone
+    endpoint callers; ///< listens for callers' requests
+    endpoint ready; ///< listens for the platform's readiness probes
+    endpoint entries; ///< listens for requests for entry addresses
+    endpoint admin; ///< serves state snapshots to peers; port 0: disabled
+    endpoint metrics; ///< serves metrics; port 0: disabled
+    endpoint peers; ///< address for datagrams between nodes
+    std::vector<endpoint> seeds; ///< admin addresses of some nodes, which may be unreachable
     endpoint store;
-    bool isFirstStart = false; ///< the whole system starts for the first time: no process has had a former life
+    bool isFirstStart = false; ///< the whole system starts for the first time, so no node has had an earlier process
+                               ///< requests to targets
 
-    // Bounds of the platform.
-    duration drainBound = std::chrono::seconds(2); ///< a leaving target gets no new work after this
-    duration configurationBound = std::chrono::seconds(2); ///< a version is in force after this
-    duration stopBound = std::chrono::seconds(8); ///< from SIGTERM to the end of the process
-    duration longestEntryLifetime = std::chrono::seconds(5); ///< callers keep an answer no longer
-    duration orderTurn = std::chrono::seconds(3); ///< between orders of two nodes to an engine
+    // Time bounds and limits set by the platform.
+    duration drainBound = std::chrono::seconds(2); ///< a draining target receives no new requests after this time
+    duration configurationBound
+        = std::chrono::seconds(2); ///< a new configuration version is in force on every node within this time
+    duration stopBound = std::chrono::seconds(8); ///< from SIGTERM to process exit
+    duration maxEntryLifetime = std::chrono::seconds(5); ///< longest time for which callers may cache entry addresses
+    duration orderHandoverInterval
+        = std::chrono::seconds(3); ///< minimum interval between orders of two different nodes to an engine
     double retryRatio = 0.2;
     double retrySlack = 0;
     duration retryWindow = std::chrono::seconds(10);
-    int descriptors = 1024; ///< that the process may have open
-    std::int64_t memoryMegabytes = 256; ///< that the process may use
-    std::uint32_t linkMegabits = 0; ///< a second, of the VM's link; 0: not known
+    int descriptors = 1024; ///< limit of open file descriptors of the process
+    std::int64_t memoryMegabytes = 256; ///< memory limit of the process
+    std::uint32_t linkMegabits = 0; ///< link bandwidth of the VM per second; 0: unknown
 };
 
 }
--- a/libs/gateway/include/gateway/keyed_log.h
+++ b/libs/gateway/include/gateway/keyed_log.h
@@ -1,4 +1,4 @@
-// The port to the store: topics whose records have keys, of which the newest of each key is kept.
+// Interface to the store: topics of keyed records, compacted to the newest record of each key.
 #pragma once
 
 #include "base/clock.h"
@@ -12,18 +12,18 @@
 
 namespace tamarack {
 
-/// The topics that a node reads; their names on the wire are the implementation's.
+/// The topics that a node reads. The implementation defines their names on the wire.
 enum class store_topic : unsigned char {
     configuration,
     targets,
     nodes,
-    orders ///< claims of the right to give orders; its records have no keys
+    orders ///< claims of the lease for role orders; its records have no keys
 };
 
 struct keyed_record {
     std::int64_t offset = 0;
     std::string key;
-    std::optional<std::string> value; ///< empty: the key was dropped
+    std::optional<std::string> value; ///< empty: the key was deleted
 };
 
 struct newest_page {
@@ -38,16 +38,16 @@
     std::int64_t next = 0; ///< offset after the last record of this page
 };
 
-/// What became of an append that had to be at a certain place.
+/// Result of a conditional append.
 struct placed_append {
     bool isAppended = false;
-    std::int64_t offset = 0; ///< of the record; if it was not appended: where the topic ends
+    std::int64_t offset = 0; ///< offset of the record; if nothing was appended, the end of the topic
 };
 
 enum class store_error : unsigned char {
-    unreachable, ///< no connection, no answer in time, or not an answer
-    refused, ///< the store did nothing
-    expired ///< the records asked for are not kept any more
+    unreachable, ///< no connection, no response in time, or a malformed response
+    refused, ///< the store rejected the call without effect
+    expired ///< the requested records are no longer retained
 };
 
 std::string_view toString(store_error error);
@@ -55,22 +55,24 @@
 template <class T> using store_result = std::variant<T, store_error>;
 template <class T> using store_handler = std::function<void(store_result<T>)>;
 
-/// Every call ends in exactly one call of its handler, from the event loop, within the call's own time limit; none is
-/// ever sent twice. The implementation outlives its calls.
+/// Every call invokes its handler exactly once, from the event loop, within the call's own time limit. No call is ever
+/// retransmitted. The implementation must outlive its calls.
 class keyed_log {
 public:
     virtual ~keyed_log() = default;
-    /// The newest record of each key, in pages; `after` is the last key of the page before. Fails when nothing of the
-    /// answer comes for `patience`.
-    virtual void newest(store_topic topic, const std::string& after, duration patience, store_handler<newest_page> done)
+    /// Reads the newest record of each key, in pages; `after` is the last key of the previous page. Fails if no byte of
+    /// the response arrives for `idleTimeout`.
+    virtual void newest(
+        store_topic topic, const std::string& after, duration idleTimeout, store_handler<newest_page> done)
         = 0;
-    /// Records from an offset on; if there are none yet, answers after `wait` at the latest.
+    /// Reads records from an offset on. If there are none yet, the store responds after `wait` at the latest (long
+    /// poll).
     virtual void read(store_topic topic, std::int64_t from, duration wait, store_handler<record_page> done) = 0;
-    /// The offset of the new record. After `unreachable` the record may still be appended.
+    /// Appends a record and yields its offset. After `unreachable` the record may still be appended.
     virtual void append(
         store_topic topic, const std::string& key, const std::string& value, store_handler<std::int64_t> done)
         = 0;
-    /// Appends a record if the topic ends at `at`, and nothing otherwise. After `unreachable` it may still be appended.
+    /// Appends a record only if the topic ends at `at`. After `unreachable` it may still be appended.
     virtual void appendAt(
         store_topic topic, std::int64_t at, const std::string& record, store_handler<placed_append> done)
         = 0;
--- a/libs/gateway/include/gateway/record_decoder.h
+++ b/libs/gateway/include/gateway/record_decoder.h
@@ -1,4 +1,4 @@
-// The port to what operators and targets write into the store.
+// Interface that decodes the records that operators and targets write into the store.
 #pragma once
 
 #include "serving/serving_configuration.h"
@@ -11,7 +11,7 @@
 
 namespace tamarack {
 
-/// Why a record cannot be read, naming the field.
+/// Reason why a record cannot be decoded; names the field.
 struct record_fault {
     std::string field;
     std::string message;
@@ -20,7 +20,7 @@
 class record_decoder {
 public:
     virtual ~record_decoder() = default;
-    /// Whether the key is the configuration's.
+    /// Whether the key is that of the configuration record.
     virtual bool isConfiguration(std::string_view key) const = 0;
     virtual std::variant<std::shared_ptr<const serving::serving_configuration>, record_fault> decodeConfiguration(
         const std::string& value) const = 0;
--- a/libs/gateway/src/cache_watch.cpp
+++ b/libs/gateway/src/cache_watch.cpp
@@ -1,4 +1,4 @@
-// Waiting calls, one after the other.
+// Implements the long polls, cache listings and peer snapshots of cache_monitor.
 #include "cache_watch.h"
 
 #include "base/hash.h"
@@ -13,42 +13,43 @@
 
     using namespace std::chrono_literals;
 
-    /// Calls that wait are free for the engine; this is the longest that it allows.
-    constexpr duration longestWait = 1s;
-    constexpr duration answerSlack = 1s;
-    /// After an answer with events, so that they come in batches: each call costs an engine and a node some work.
-    constexpr duration batchPause = 100ms;
-    constexpr duration failurePause = 1s;
-    /// The users' engines keep 12 calls waiting, and each of two systems' nodes may be there while one replaces the
-    /// other.
-    constexpr std::size_t mostNodesThatAllWatch = 10;
-    /// One may be gone before the others notice.
-    constexpr std::size_t watchersPerEngine = 2;
-    /// While nodes and targets come and go, the engines are shared out this often.
-    constexpr duration sharePause = 300ms;
-    /// Kept for the next heartbeats; what is older is worth less.
-    constexpr std::size_t mostNews = 200;
-    constexpr std::string_view peerPath = "/caches";
-    /// Between two peers that are asked; after the loss of all nodes their lists are there within some 2 s.
-    constexpr duration peerPause = 1s;
-    /// A node that has listened for so long has heard of all lists.
-    constexpr duration listsTime = 5s;
-    constexpr int mostPeersAsked = 3;
+    /// Waiting calls cost the engine nothing; this is the longest wait that it supports.
+    constexpr duration longPollWait = 1s;
+    constexpr duration responseTimeout = 1s;
+    /// Pause after a response, so that events arrive in batches: each call costs both the engine and a node some work.
+    constexpr duration batchInterval = 100ms;
+    constexpr duration retryDelay = 1s;
+    /// An engine holds 12 long polls open and rejects the rest. The nodes of two systems may poll it while one system
+    /// replaces the other.
+    constexpr std::size_t maxNodesMonitoringAll = 10;
+    /// Two, since one of them may fail before the other nodes notice.
+    constexpr std::size_t monitorsPerEngine = 2;
+    /// Minimum interval between assignments while nodes and targets change.
+    constexpr duration assignmentInterval = 300ms;
+    /// Limit of the queue for the next heartbeats; the oldest updates are dropped first, as they matter least.
+    constexpr std::size_t maxPendingUpdates = 200;
+    constexpr std::string_view snapshotPath = "/caches";
+    /// Interval between requests to peers. After all nodes were lost, the listings of the peers are complete within
+    /// about 2 s.
+    constexpr duration snapshotRequestInterval = 1s;
+    /// After this time a node has received the listings of all peers.
+    constexpr duration listingConvergenceTime = 5s;
+    constexpr int maxSnapshotRequests = 3;
 
 }
 
-cache_watch::cache_watch(http_client& client, const target_protocol& protocol, serving::dispatcher& decisions,
-    metrics& counters, const logger& log, news_handler onListed)
+cache_monitor::cache_monitor(http_client& client, const target_protocol& protocol, serving::dispatcher& decisions,
+    metrics& counters, const logger& log, update_handler onListing)
     : m_client(client)
     , m_protocol(protocol)
     , m_decisions(decisions)
     , m_counters(counters)
     , m_log(log)
-    , m_onListed(std::move(onListed))
+    , m_onListing(std::move(onListing))
 {
 }
 
-cache_watch::~cache_watch()
+cache_monitor::~cache_monitor()
 {
     for (auto& [instance, engine] : m_engines) {
         if (engine.call)
@@ -56,79 +57,82 @@
     }
 }
 
-void cache_watch::tick(const serving::node_state& self, const std::vector<serving::node_state>& alive, instant now)
+void cache_monitor::tick(const serving::node_state& self, const std::vector<serving::node_state>& alive, instant now)
 {
-    shareOut(self, alive, now);
-    askPeer(self, alive, now);
+    assignEngines(self, alive, now);
+    requestSnapshot(self, alive, now);
     for (auto& [instance, engine] : m_engines) {
-        if (engine.call || now < engine.askAt)
+        if (engine.call || now < engine.nextCallAt)
             continue;
-        if (engine.isToList)
-            list(instance, engine);
+        if (engine.needsListing)
+            requestListing(instance, engine);
         else
-            ask(instance, engine);
+            requestEvents(instance, engine);
     }
 }
 
-// An engine keeps only so many calls waiting and refuses the rest, so with many nodes a few watch each engine, in its
-// own zone where there are any, and tell the others. One of them asks for the list when events were missed.
-void cache_watch::shareOut(const serving::node_state& self, const std::vector<serving::node_state>& alive, instant now)
+// An engine accepts only a limited number of waiting calls, so with many nodes only a few monitor each engine,
+// preferably in the engine's own availability zone, and notify the others. One of them requests the listing when events
+// were missed.
+void cache_monitor::assignEngines(
+    const serving::node_state& self, const std::vector<serving::node_state>& alive, instant now)
 {
     const auto& fleet = m_decisions.fleet();
     std::uint64_t nodes = alive.size();
     for (const auto& node : alive)
         nodes += rendezvousSeed(node.vm);
-    if ((nodes == m_nodesSeen && fleet.generation() == m_fleetSeen) || now < m_shareAt)
+    if ((nodes == m_assignedNodesHash && fleet.generation() == m_assignedGeneration) || now < m_nextAssignmentAt)
         return;
-    m_nodesSeen = nodes;
-    m_fleetSeen = fleet.generation();
-    m_shareAt = now + sharePause;
-    m_sharesWatches = alive.size() + 1 > mostNodesThatAllWatch;
+    m_assignedNodesHash = nodes;
+    m_assignedGeneration = fleet.generation();
+    m_nextAssignmentAt = now + assignmentInterval;
+    m_sharesMonitoring = alive.size() + 1 > maxNodesMonitoringAll;
     const serving::zone_roster roster(self, alive);
-    std::set<std::string> mine;
+    std::set<std::string> assigned;
     for (std::uint32_t row = 0; row < fleet.size(); ++row) {
         if (!fleet.isListed[row] || fleet.role[row] == serving::target_role::plain)
             continue;
         const auto& instance = fleet.instance[row];
-        if (m_sharesWatches && !roster.isOnDuty(instance, fleet.zone[row], watchersPerEngine))
+        if (m_sharesMonitoring && !roster.isOnDuty(instance, fleet.zone[row], monitorsPerEngine))
             continue;
-        mine.insert(instance);
+        assigned.insert(instance);
         auto& engine = m_engines[instance];
         engine.row = { row };
         engine.name = fleet.name[row];
         engine.address = fleet.address[row];
-        engine.isLister = roster.isOnDuty(instance, fleet.zone[row], 1);
+        engine.isDesignatedLister = roster.isOnDuty(instance, fleet.zone[row], 1);
     }
     std::erase_if(m_engines, [&](auto& item) {
-        const bool isOver = !mine.contains(item.first);
-        if (isOver && item.second.call)
+        const bool isUnassigned = !assigned.contains(item.first);
+        if (isUnassigned && item.second.call)
             item.second.call->cancel();
-        return isOver;
+        return isUnassigned;
     });
 }
 
-// What goes wrong without it: a node that has just started takes all engines for empty, sends prompts to any of them,
-// and beginnings that the fleet keeps are read again. Played with all nodes started anew in the middle of a day: 0.867
-// of the worth of grown Ahnenhaus instead of 0.901, and three times as many tokens read again.
-void cache_watch::askPeer(const serving::node_state& self, const std::vector<serving::node_state>& alive, instant now)
+// A node that has just started would otherwise take all caches for empty and send prompts to any engine, so that
+// prefixes cached in the fleet are prefilled again. After a restart of all nodes under load this lowered goodput from
+// 0.901 to 0.867 and tripled the number of tokens prefilled again.
+void cache_monitor::requestSnapshot(
+    const serving::node_state& self, const std::vector<serving::node_state>& alive, instant now)
 {
-    if (m_isInformed || now < m_askPeerAt)
+    if (m_isSnapshotDone || now < m_nextSnapshotRequestAt)
         return;
     const auto* peer = serving::peerToAsk(self, alive, [](const auto& node) { return node.isReady; });
     if (!peer)
         return;
-    m_askPeerAt = now + peerPause;
-    m_isInformed = ++m_peersAsked >= mostPeersAsked;
+    m_nextSnapshotRequestAt = now + snapshotRequestInterval;
+    m_isSnapshotDone = ++m_snapshotRequests >= maxSnapshotRequests;
     exchange_options options;
-    options.silenceTimeout = answerSlack;
+    options.silenceTimeout = responseTimeout;
     options.keepConnection = false;
-    m_client.fetch({ peer->address, peer->adminPort }, { "GET", std::string(peerPath), {}, {} }, options,
-        [this](const http_response* response, const exchange_failure&) { peerAnswered(response); });
+    m_client.fetch({ peer->address, peer->adminPort }, { "GET", std::string(snapshotPath), {}, {} }, options,
+        [this](const http_response* response, const exchange_failure&) { onSnapshotResponse(response); });
 }
 
-// What goes wrong without looking at who answers: all nodes are lost together, each asks a peer that knows the few
-// engines of its own, and none asks again.
-void cache_watch::peerAnswered(const http_response* response)
+// After the loss of all nodes, a peer may know only the few engines that it monitors itself. Only a snapshot that is
+// marked as complete ends the requests.
+void cache_monitor::onSnapshotResponse(const http_response* response)
 {
     const auto caches = response ? decodeCaches(response->body) : std::nullopt;
     m_log.write(log_event::caches_told,
@@ -136,16 +140,16 @@
             { "complete", caches && caches->isComplete } });
     if (!caches)
         return;
-    m_wasToldAll |= caches->isComplete;
-    m_isInformed |= caches->isComplete;
-    told(caches->parts);
+    m_hasCompleteSnapshot |= caches->isComplete;
+    m_isSnapshotDone |= caches->isComplete;
+    applyPeerUpdates(caches->parts);
 }
 
-known_caches cache_watch::known(instant now) const
+cache_snapshot cache_monitor::snapshot(instant now) const
 {
     const auto& fleet = m_decisions.fleet();
-    known_caches out;
-    out.isComplete = m_wasToldAll || now >= m_startedAt + listsTime;
+    cache_snapshot out;
+    out.isComplete = m_hasCompleteSnapshot || now >= m_startedAt + listingConvergenceTime;
     for (std::uint32_t row = 0; row < fleet.size(); ++row) {
         if (!fleet.isListed[row])
             continue;
@@ -155,37 +159,39 @@
     return out;
 }
 
-std::vector<cache_news> cache_watch::takeNews(std::size_t most)
+std::vector<cache_update> cache_monitor::takeUpdates(std::size_t most)
 {
-    std::vector<cache_news> out;
-    while (!m_news.empty() && out.size() < most) {
-        out.push_back(m_news.front());
-        m_news.pop_front();
+    std::vector<cache_update> out;
+    while (!m_pendingUpdates.empty() && out.size() < most) {
+        out.push_back(m_pendingUpdates.front());
+        m_pendingUpdates.pop_front();
     }
     return out;
 }
 
-void cache_watch::told(const std::vector<cache_news>& news)
+void cache_monitor::applyPeerUpdates(const std::vector<cache_update>& updates)
 {
-    for (const auto& item : news) {
+    for (const auto& item : updates) {
         const target_id row = m_decisions.fleet().findHash(item.target);
         if (row.isValid())
             m_decisions.cacheTold(row, { { item.part, item.tokens } });
     }
 }
 
-void cache_watch::ask(const std::string& instance, watched_engine& engine)
+void cache_monitor::requestEvents(const std::string& instance, monitored_engine& engine)
 {
     exchange_options options;
-    options.silenceTimeout = longestWait + answerSlack;
+    options.silenceTimeout = longPollWait + responseTimeout;
     engine.call = m_client.fetch(parseEndpoint(engine.address),
-        m_protocol.cacheEvents(engine.next, longestWait, engine.name), options,
-        [this, instance](const http_response* response, const exchange_failure&) { answered(instance, response); });
+        m_protocol.cacheEvents(engine.nextEvent, longPollWait, engine.name), options,
+        [this, instance](
+            const http_response* response, const exchange_failure&) { onEventsResponse(instance, response); });
 }
 
-// What goes wrong without the second check: a row is another target's as soon as its former target has gone, some 300
-// ms before the engines are shared out again, and what the former one kept is believed of the new one.
-cache_watch::watched_engine* cache_watch::calledEngine(const std::string& instance)
+// The row may have been reused: it can belong to another target from the moment its former target has gone until the
+// next assignment about 300 ms later, and the cache contents of the former target must not be attributed to the new
+// one.
+cache_monitor::monitored_engine* cache_monitor::finishCall(const std::string& instance)
 {
     const auto found = m_engines.find(instance);
     if (found == m_engines.end())
@@ -195,76 +201,80 @@
     return m_decisions.fleet().instance[engine.row.value] == instance ? &engine : nullptr;
 }
 
-void cache_watch::answered(const std::string& instance, const http_response* response)
+void cache_monitor::onEventsResponse(const std::string& instance, const http_response* response)
 {
-    auto* called = calledEngine(instance);
+    auto* called = finishCall(instance);
     if (!called)
         return;
     auto& engine = *called;
     const auto report
         = response && response->status == 200 ? m_protocol.decodeCacheEvents(response->body) : std::nullopt;
-    engine.askAt = boot_clock::now() + (report ? batchPause : failurePause);
+    engine.nextCallAt = boot_clock::now() + (report ? batchInterval : retryDelay);
     m_counters.count("tamarack_cache_reports_total", { { "result", report ? "read" : "failed" } });
     if (report)
-        take(instance, engine, *report);
+        applyReport(instance, engine, *report);
 }
 
-void cache_watch::take(const std::string& instance, watched_engine& engine, const cache_report& report)
+void cache_monitor::applyReport(const std::string& instance, monitored_engine& engine, const cache_report& report)
 {
     const bool isRestarted = engine.hasEpoch && report.epoch != engine.epoch;
-    if (isRestarted || report.isGapped)
+    if (isRestarted || report.hasGap)
         m_log.write(log_event::cache_view_restarted,
-            { { "target", instance }, { "restarted", isRestarted }, { "gap", report.isGapped } });
+            { { "target", instance }, { "restarted", isRestarted }, { "gap", report.hasGap } });
     if (isRestarted)
         m_decisions.cacheLost(engine.row);
     engine.epoch = report.epoch;
     engine.hasEpoch = true;
-    engine.next = report.next;
-    engine.isToList = report.isGapped && engine.isLister;
+    engine.nextEvent = report.next;
+    engine.needsListing = report.hasGap && engine.isDesignatedLister;
     m_decisions.cacheTold(engine.row, report.events);
-    if (m_sharesWatches)
-        keepNews(engine, report.events);
+    if (m_sharesMonitoring)
+        queueUpdates(engine, report.events);
 }
 
-// What goes wrong without it: after the loss of all nodes nobody knows what the engines keep from before the last
-// events, and most beginnings are read again.
-void cache_watch::list(const std::string& instance, watched_engine& engine)
+// After the loss of all nodes, no node knows what the engines cached before the retained events, and most prefixes
+// would be prefilled again.
+void cache_monitor::requestListing(const std::string& instance, monitored_engine& engine)
 {
     exchange_options options;
-    options.silenceTimeout = longestWait + answerSlack;
-    engine.isToList = false;
+    options.silenceTimeout = longPollWait + responseTimeout;
+    engine.needsListing = false;
     engine.call = m_client.fetch(parseEndpoint(engine.address), m_protocol.cacheList(engine.name), options,
-        [this, instance](const http_response* response, const exchange_failure&) { listed(instance, response); });
+        [this, instance](
+            const http_response* response, const exchange_failure&) { onListResponse(instance, response); });
 }
 
-void cache_watch::listed(const std::string& instance, const http_response* response)
+void cache_monitor::onListResponse(const std::string& instance, const http_response* response)
 {
-    auto* called = calledEngine(instance);
+    auto* called = finishCall(instance);
     if (!called)
         return;
     auto& engine = *called;
     const auto all = response && response->status == 200 ? m_protocol.decodeCacheList(response->body) : std::nullopt;
     m_counters.count("tamarack_cache_lists_total", { { "result", all ? "read" : "failed" } });
     if (!all)
-        return; // the events go on telling what changes
+        return; // later events still report what changes
     engine.epoch = all->epoch;
-    engine.next = all->next;
+    engine.nextEvent = all->next;
     m_decisions.cacheListed(engine.row, all->events);
-    // What goes wrong if it waits for heartbeats: after the loss of all nodes there are some thousand parts to tell, of
-    // which heartbeats carry a dozen each, and for seconds beginnings that the fleet keeps are read again.
-    if (m_sharesWatches)
-        m_onListed(newsOf(engine, all->events));
+    // Sent at once rather than with heartbeats: after the loss of all nodes there are several thousand prefixes to
+    // announce, and a heartbeat carries only a dozen, so prefixes cached in the fleet would be prefilled again for
+    // seconds.
+    if (m_sharesMonitoring)
+        m_onListing(updatesFrom(engine, all->events));
 }
 
-// Small parts are not followed, and that a part is gone is news only if it was told before.
-std::vector<cache_news> cache_watch::newsOf(watched_engine& engine, const std::vector<serving::cache_event>& events)
+// Prefixes below the minimum size are not tracked, and an eviction is announced only if the prefix was announced
+// before.
+std::vector<cache_update> cache_monitor::updatesFrom(
+    monitored_engine& engine, const std::vector<serving::cache_event>& events)
 {
-    std::vector<cache_news> out;
+    std::vector<cache_update> out;
     for (const auto& event : events) {
         const bool isKept = event.tokens >= serving::prompt_cache_map::fewestTokens;
-        const bool isNews
-            = isKept ? engine.toldParts.insert(event.part).second : engine.toldParts.erase(event.part) > 0;
-        if (!isNews)
+        const bool isUnannounced
+            = isKept ? engine.announcedParts.insert(event.part).second : engine.announcedParts.erase(event.part) > 0;
+        if (!isUnannounced)
             continue;
         out.push_back({ m_decisions.fleet().instanceHash[engine.row.value], event.part,
             static_cast<std::uint32_t>(isKept ? event.tokens : 0) });
@@ -272,12 +282,12 @@
     return out;
 }
 
-void cache_watch::keepNews(watched_engine& engine, const std::vector<serving::cache_event>& events)
+void cache_monitor::queueUpdates(monitored_engine& engine, const std::vector<serving::cache_event>& events)
 {
-    for (const auto& news : newsOf(engine, events))
-        m_news.push_back(news);
-    while (m_news.size() > mostNews)
-        m_news.pop_front();
+    for (const auto& update : updatesFrom(engine, events))
+        m_pendingUpdates.push_back(update);
+    while (m_pendingUpdates.size() > maxPendingUpdates)
+        m_pendingUpdates.pop_front();
 }
 
 }
--- a/libs/gateway/src/cache_watch.h
+++ b/libs/gateway/src/cache_watch.h
@@ -1,5 +1,5 @@
-// Follows what engines keep: one waiting call to each that is this node's to watch, a list where events were missed,
-// and what a peer knows when this node starts.
+// Follows the contents of the engines' prefix caches: keeps one long poll open to each engine assigned to this node,
+// requests a full listing when events were missed, and loads a snapshot from a peer when this node starts.
 #pragma once
 
 #include "node_messages.h"
@@ -21,71 +21,73 @@
 
 namespace tamarack {
 
-class cache_watch {
+class cache_monitor {
 public:
-    using news_handler = std::function<void(std::vector<cache_news>)>;
+    using update_handler = std::function<void(std::vector<cache_update>)>;
 
-    /// `onListed` hears of what engines keep that were asked for all of it.
-    cache_watch(http_client& client, const target_protocol& protocol, serving::dispatcher& decisions, metrics& counters,
-        const logger& log, news_handler onListed);
-    ~cache_watch();
+    /// `onListing` receives the changes found by a full listing of an engine's cache.
+    cache_monitor(http_client& client, const target_protocol& protocol, serving::dispatcher& decisions,
+        metrics& counters, const logger& log, update_handler onListing);
+    ~cache_monitor();
 
-    /// Watches the engines that are this node's to watch; called from time to time.
+    /// Polls the engines assigned to this node. Called periodically.
     void tick(const serving::node_state& self, const std::vector<serving::node_state>& alive, instant now);
-    /// What was seen since the last call, at most `most` of it, for peers that do not watch themselves.
-    std::vector<cache_news> takeNews(std::size_t most);
-    /// A peer tells of the engines that it watches.
-    void told(const std::vector<cache_news>& news);
-    /// All that is known, for a peer that has just started.
-    known_caches known(instant now) const;
+    /// Removes and returns at most `most` of the updates observed since the last call, for peers that do not poll these
+    /// engines themselves.
+    std::vector<cache_update> takeUpdates(std::size_t most);
+    /// Applies updates that a peer has observed.
+    void applyPeerUpdates(const std::vector<cache_update>& updates);
+    /// Everything known about the caches, for a peer that has just started.
+    cache_snapshot snapshot(instant now) const;
 
 private:
-    struct watched_engine {
+    struct monitored_engine {
         target_id row;
-        std::string name; // what it calls itself
+        std::string name; // name without the process start time
         std::string address;
-        std::uint64_t next = 0; // number of the first event not seen
+        std::uint64_t nextEvent = 0; // sequence number of the first event not received yet
         std::uint64_t epoch = 0;
         bool hasEpoch = false;
-        std::shared_ptr<http_exchange> call; // null while none is outstanding
-        instant askAt; // not before
-        bool isToList = false; // events were missed, and it is this node's to make them good
-        bool isLister = false;
-        std::unordered_set<std::uint64_t> toldParts; // that peers take for kept
+        std::shared_ptr<http_exchange> call; // outstanding call, or null
+        instant nextCallAt; // earliest time of the next call
+        bool needsListing = false; // events were missed, and this node is the one to request the listing
+        bool isDesignatedLister = false;
+        std::unordered_set<std::uint64_t> announcedParts; // prefixes that peers were notified of
     };
 
-    /// Which engines are this node's to watch; looked at anew when nodes or targets have changed.
-    void shareOut(const serving::node_state& self, const std::vector<serving::node_state>& alive, instant now);
-    void askPeer(const serving::node_state& self, const std::vector<serving::node_state>& alive, instant now);
-    void peerAnswered(const http_response* response);
-    void ask(const std::string& instance, watched_engine& engine);
-    void list(const std::string& instance, watched_engine& engine);
-    void listed(const std::string& instance, const http_response* response);
-    void answered(const std::string& instance, const http_response* response);
-    /// What peers do not know yet.
-    std::vector<cache_news> newsOf(watched_engine& engine, const std::vector<serving::cache_event>& events);
-    void keepNews(watched_engine& engine, const std::vector<serving::cache_event>& events);
-    void take(const std::string& instance, watched_engine& engine, const cache_report& report);
-    /// The engine whose call has ended; null if it is not watched any more, or its row is another target's.
-    watched_engine* calledEngine(const std::string& instance);
+    /// Recomputes which engines this node monitors when nodes or targets have changed.
+    void assignEngines(const serving::node_state& self, const std::vector<serving::node_state>& alive, instant now);
+    void requestSnapshot(const serving::node_state& self, const std::vector<serving::node_state>& alive, instant now);
+    void onSnapshotResponse(const http_response* response);
+    void requestEvents(const std::string& instance, monitored_engine& engine);
+    void requestListing(const std::string& instance, monitored_engine& engine);
+    void onListResponse(const std::string& instance, const http_response* response);
+    void onEventsResponse(const std::string& instance, const http_response* response);
+    /// Converts events to updates, leaving out what peers already know.
+    std::vector<cache_update> updatesFrom(monitored_engine& engine, const std::vector<serving::cache_event>& events);
+    void queueUpdates(monitored_engine& engine, const std::vector<serving::cache_event>& events);
+    void applyReport(const std::string& instance, monitored_engine& engine, const cache_report& report);
+    /// Clears the outstanding call of the engine and returns the engine. Null if it is no longer monitored or its table
+    /// row belongs to another target.
+    monitored_engine* finishCall(const std::string& instance);
 
     http_client& m_client;
     const target_protocol& m_protocol;
     serving::dispatcher& m_decisions;
     metrics& m_counters;
     const logger& m_log;
-    news_handler m_onListed;
-    std::map<std::string, watched_engine> m_engines; // by instance
-    std::deque<cache_news> m_news; // the oldest first
-    std::uint64_t m_fleetSeen = 0; // generation that was last shared out
-    std::uint64_t m_nodesSeen = 0; // of the nodes then
-    instant m_shareAt; // not before
-    instant m_askPeerAt; // not before
+    update_handler m_onListing;
+    std::map<std::string, monitored_engine> m_engines; // keyed by instance
+    std::deque<cache_update> m_pendingUpdates; // oldest first
+    std::uint64_t m_assignedGeneration = 0; // fleet generation of the last assignment
+    std::uint64_t m_assignedNodesHash = 0; // hash of the nodes at the last assignment
+    instant m_nextAssignmentAt; // earliest time of the next assignment
+    instant m_nextSnapshotRequestAt; // earliest time of the next request to a peer
     instant m_startedAt = boot_clock::now();
-    int m_peersAsked = 0;
-    bool m_isInformed = false; // a peer has told all that there is to know, or none is asked any more
-    bool m_wasToldAll = false; // by a peer
-    bool m_sharesWatches = false; // too many nodes for all to watch all
+    int m_snapshotRequests = 0;
+    bool m_isSnapshotDone = false; // a peer has sent a complete snapshot, or the maximum number of requests is reached
+    bool m_hasCompleteSnapshot = false; // a complete snapshot was received from a peer
+    bool m_sharesMonitoring = false; // too many nodes for each to monitor every engine
 };
 
 }
--- a/libs/gateway/src/caller_flow.cpp
+++ b/libs/gateway/src/caller_flow.cpp
@@ -1,4 +1,4 @@
-// The flow of one request.
+// Implements the flow of one request.
 #include "caller_flow.h"
 
 #include "base/contract.h"
@@ -14,13 +14,13 @@
 
     using namespace std::chrono_literals;
 
-    /// Answers up to this size are kept until they are whole, so that one that breaks off can be asked for elsewhere
-    /// instead of reaching the caller in part.
-    constexpr std::size_t mostKeptBytes = 64 * 1024;
+    /// Responses up to this size are buffered until complete, so that an interrupted one can be retried at another
+    /// target instead of reaching the caller in part.
+    constexpr std::size_t maxBufferedBytes = 64 * 1024;
     constexpr std::size_t pauseAboveBytes = 256 * 1024;
     constexpr std::size_t resumeBelowBytes = 64 * 1024;
-    /// Connecting takes a round trip and a millisecond; a target in another zone answers within 4 ms. Longer than this
-    /// it is gone, or its queue of new connections is full.
+    /// Connecting takes one round trip plus a millisecond, and a target in another availability zone responds within 4
+    /// ms. If it takes longer, the target is gone or its accept queue is full.
     constexpr duration connectTimeout = 150ms;
     constexpr int firstFailureStatus = 500;
 
@@ -63,12 +63,12 @@
         m_attempt->exchange->cancel();
 }
 
-void caller_flow::taken(const serving::serving_request& request) const
+void caller_flow::logAccepted(const serving::serving_request& request) const
 {
     m_services.log.write(log_event::request_taken,
         { { "request", m_decoded.id }, { "route", m_routeName }, { "service", request.service },
             { "version", request.configuration->version() },
-            { "left_ms", m_decoded.patience ? milliseconds(*m_decoded.patience) : -1 },
+            { "left_ms", m_decoded.timeLeft ? milliseconds(*m_decoded.timeLeft) : -1 },
             { "tokens", m_decoded.text ? m_decoded.text->inputTokens : 0 },
             { "aim_ms", milliseconds(request.route->aim) }, { "gap_aim_ms", milliseconds(request.route->gapAim) } });
 }
@@ -117,7 +117,8 @@
     m_isPaused = false;
     exchange_options options;
     options.connectTimeout = connectTimeout;
-    options.silenceTimeout = command.timeLeft + connectTimeout; // the decisions leave a silent target earlier
+    options.silenceTimeout
+        = command.timeLeft + connectTimeout; // the dispatcher cancels an attempt at a silent target earlier
     options.longestIdle = command.longestIdle;
     exchange_handlers handlers;
     const auto weak = weak_from_this();
@@ -198,15 +199,15 @@
         return applyBackPressure();
     }
     attempt->body += bytes;
-    if (attempt->body.size() <= mostKeptBytes)
+    if (attempt->body.size() <= maxBufferedBytes)
         return;
     const bool mayRelay = attempt->command.stage != attempt_stage::prefill && !isFailure(attempt->answer);
     if (mayRelay)
-        return relayKept(attempt);
+        return relayBuffered(attempt);
     conclude(attempt, attempt_result::broken);
 }
 
-void caller_flow::relayKept(const attempt_ptr& attempt)
+void caller_flow::relayBuffered(const attempt_ptr& attempt)
 {
     beginAnswer(attempt);
     m_caller->write(attempt->body);
@@ -219,7 +220,7 @@
     attempt->isRelayed = true;
     m_services.decisions.started(m_id, attempt->command.attempt);
     if (m_caller->hasStarted())
-        return; // resumed: the caller has the head of the first attempt
+        return; // resumed stream: the caller has the head of the first attempt
     const auto& answer = attempt->answer;
     if (answer.bodyBytes && !m_isStream)
         m_caller->startSized({ answer.status, answer.forCaller }, *answer.bodyBytes);
@@ -239,20 +240,20 @@
     m_services.decisions.streamed(m_id, attempt->command.attempt, boot_clock::now());
     const auto last = parseNumber(m_lastEvent);
     if (event.id && last && *event.id <= *last)
-        return; // the caller has it already, from an earlier attempt
+        return; // duplicate: already sent during an earlier attempt
     if (!event.idText.empty())
         m_lastEvent = std::string(event.idText);
-    notePause();
+    recordEvent();
     m_caller->write(event.bytes);
 }
 
-void caller_flow::notePause()
+void caller_flow::recordEvent()
 {
     const auto now = boot_clock::now();
     if (++m_events == 1)
         m_firstMs = milliseconds(now - m_startedAt);
     else
-        m_longestPause = std::max(m_longestPause, now - m_lastEventAt);
+        m_longestGap = std::max(m_longestGap, now - m_lastEventAt);
     m_lastEventAt = now;
 }
 
@@ -279,7 +280,7 @@
     }
     if (isFailure(attempt->answer))
         return conclude(attempt, attempt_result::failure_answer);
-    // A stream that stops inside an event was cut, however neatly it was closed.
+    // A stream that ends within an event was truncated, even if the connection was closed cleanly.
     if (attempt->splitter.hasPartial())
         return conclude(attempt, m_caller->hasStarted() ? attempt_result::cut : attempt_result::broken);
     if (!attempt->isRelayed) {
@@ -303,10 +304,10 @@
 
 void caller_flow::conclude(const attempt_ptr& attempt, attempt_result result, const std::string& cacheName)
 {
-    TAMARACK_ASSERT(attempt == m_attempt, "an attempt ends once");
+    TAMARACK_ASSERT(attempt == m_attempt, "an attempt must be concluded only once");
     const auto self = shared_from_this();
     m_attempt = nullptr;
-    // An abandoned connection is never used again: what still comes on it belongs to this attempt.
+    // The connection of an aborted attempt is never reused, since late bytes on it belong to this attempt.
     if (result != attempt_result::answered && result != attempt_result::prefilled
         && result != attempt_result::failure_answer)
         attempt->exchange->cancel();
@@ -340,7 +341,7 @@
     if (!m_attempt || m_attempt->command.attempt != attempt)
         return;
     m_attempt->exchange->cancel();
-    // Silence may be the connection's and not the target's; others that are kept would be as silent.
+    // The connection may be dead rather than the target, in which case the other pooled connections are dead as well.
     const auto& fleet = m_services.decisions.fleet();
     m_services.client.forget(parseEndpoint(fleet.address[m_attempt->command.target.value]));
     m_attempt = nullptr;
@@ -352,7 +353,7 @@
     if (m_isFinished)
         return;
     if (m_caller->hasStarted()) {
-        // The head has left: the missing end of the body says that the answer is not whole.
+        // The head has been sent already, so only the truncated body can signal that the response is incomplete.
         m_caller->abortWhenWritten();
         return finish(flow_end::cut);
     }
@@ -365,10 +366,10 @@
     finish(flow_end::refused);
 }
 
-void caller_flow::passFailureOn()
+void caller_flow::forwardFailure()
 {
     const auto self = shared_from_this();
-    TAMARACK_ASSERT(m_failure != nullptr, "there is a failure to pass on");
+    TAMARACK_ASSERT(m_failure != nullptr, "a failure response must exist before it is forwarded");
     if (m_caller->hasStarted()) {
         m_caller->abortWhenWritten();
         return finish(flow_end::cut);
@@ -378,7 +379,7 @@
     finish(flow_end::target_failure);
 }
 
-void caller_flow::drop() { finish(flow_end::caller_gone); }
+void caller_flow::abandon() { finish(flow_end::caller_gone); }
 
 void caller_flow::finish(flow_end end)
 {
@@ -389,17 +390,17 @@
     const auto name = std::string(toString(end));
     m_services.counters.count("tamarack_requests_total", { { "outcome", name } });
     m_services.counters.observeSeconds("tamarack_request_seconds", took, { { "outcome", name } });
-    // A refusal has its own line.
+    // Refusals are logged in refuse().
     if (end == flow_end::answered) {
         m_services.log.write(log_event::request_ended,
             { { "request", m_decoded.id }, { "route", m_routeName }, { "first_ms", m_firstMs },
                 { "took_ms", millisecondsSince(m_startedAt) }, { "events", m_events }, { "attempts", m_attempts },
-                { "longest_pause_ms", milliseconds(m_longestPause) } });
+                { "longest_pause_ms", milliseconds(m_longestGap) } });
     } else if (end != flow_end::refused) {
         m_services.log.write(log_event::request_failed,
             { { "request", m_decoded.id }, { "route", m_routeName }, { "outcome", name }, { "first_ms", m_firstMs },
                 { "took_ms", millisecondsSince(m_startedAt) }, { "events", m_events }, { "attempts", m_attempts },
-                { "longest_pause_ms", milliseconds(m_longestPause) } });
+                { "longest_pause_ms", milliseconds(m_longestGap) } });
     }
     if (m_on.onFinished)
         m_on.onFinished();
--- a/libs/gateway/src/caller_flow.h
+++ b/libs/gateway/src/caller_flow.h
@@ -1,4 +1,5 @@
-// Carries one request to targets and its answer back: whole, in order, once, across as many attempts as it takes.
+// Relays one caller's request to targets and the response back, complete, in order and exactly once, across any number
+// of attempts.
 #pragma once
 
 #include "gateway/caller_protocol.h"
@@ -16,7 +17,7 @@
 
 namespace tamarack {
 
-/// What every flow of a process uses; outlives them.
+/// Services shared by all flows of a process; they outlive the flows.
 struct flow_services {
     http_client& client;
     serving::dispatcher& decisions;
@@ -26,7 +27,7 @@
     const logger& log;
 };
 
-/// How a request ended, as its caller saw it.
+/// Outcome of a request from the caller's point of view.
 enum class flow_end : unsigned char { answered, target_failure, refused, cut, caller_gone, count };
 
 std::string_view toString(flow_end end);
@@ -36,7 +37,7 @@
     struct callbacks {
         std::function<void(attempt_id, serving::attempt_result, const std::string& cacheName)> onAttemptEnded;
         std::function<void()> onCallerGone;
-        /// Called once; the flow does nothing after it.
+        /// Called once; the flow is inactive afterwards.
         std::function<void()> onFinished;
     };
 
@@ -44,18 +45,18 @@
         std::shared_ptr<response_writer> caller);
     ~caller_flow();
 
-    /// Logs that the request was taken.
-    void taken(const serving::serving_request& request) const;
+    /// Logs that the request was accepted.
+    void logAccepted(const serving::serving_request& request) const;
     void bind(request_id id, callbacks handlers);
     void start(const serving::start_attempt& command);
     void stop(attempt_id attempt);
     void refuse(error_kind kind, duration retryAfter);
-    void passFailureOn();
-    /// The caller has gone and nothing is under way for it.
-    void drop();
+    void forwardFailure();
+    /// Ends the flow after the caller has disconnected and its attempt was cancelled.
+    void abandon();
     bool isRepeatable() const { return m_isRepeatable; }
     bool isStream() const { return m_isStream; }
-    bool isAtTarget() const { return m_attempt != nullptr; }
+    bool hasActiveAttempt() const { return m_attempt != nullptr; }
     const std::string& callerId() const { return m_decoded.id; }
 
 private:
@@ -63,11 +64,11 @@
         serving::start_attempt command;
         std::shared_ptr<http_exchange> exchange;
         target_answer answer;
-        std::string body; // kept until it is known what to do with it
+        std::string body; // buffered until it is known whether the response is relayed
         event_splitter splitter;
-        bool isRelayed = false; // bytes of it went to the caller
+        bool isRelayed = false; // part of the response was sent to the caller
         instant startedAt;
-        std::int64_t firstMs = -1; // from the start to the first event of a stream
+        std::int64_t firstMs = -1; // time from the start of the attempt to the first event of a stream; -1: none yet
         std::string failureReason;
     };
     using attempt_ptr = std::shared_ptr<attempt_state>;
@@ -78,35 +79,36 @@
     void onEnd(const attempt_ptr& attempt);
     void onFailure(const attempt_ptr& attempt, const exchange_failure& failure);
     void onEvent(const attempt_ptr& attempt, const stream_event& event);
-    void relayKept(const attempt_ptr& attempt);
+    void relayBuffered(const attempt_ptr& attempt);
     void beginAnswer(const attempt_ptr& attempt);
     void conclude(const attempt_ptr& attempt, serving::attempt_result result, const std::string& cacheName = {});
     void finish(flow_end end);
-    /// An event goes to the caller.
-    void notePause();
+    /// Updates the event count, the time to the first event and the longest gap; called for each event sent to the
+    /// caller.
+    void recordEvent();
     void applyBackPressure();
     bool isFailure(const target_answer& answer) const;
     bool isEventStream(const attempt_ptr& attempt) const;
 
     flow_services& m_services;
-    http_request m_request; // as the caller sent it
+    http_request m_request; // as received from the caller
     caller_request m_decoded;
-    std::string m_service; // label of counters
+    std::string m_service; // label of metrics
     std::string m_routeName;
     bool m_isRepeatable;
     bool m_isStream;
     std::shared_ptr<response_writer> m_caller;
     request_id m_id;
     callbacks m_on;
-    attempt_ptr m_attempt; // the one under way
-    attempt_ptr m_failure; // the last one that ended with the target's own failure
-    std::string m_lastEvent; // id of the last event that the caller has
+    attempt_ptr m_attempt; // current attempt
+    attempt_ptr m_failure; // last attempt that ended with a failure response of the target
+    std::string m_lastEvent; // id of the last event sent to the caller
     instant m_startedAt;
     int m_attempts = 0;
-    int m_events = 0; // of a stream, that went to the caller
-    std::int64_t m_firstMs = -1; // from the request to the first of them
+    int m_events = 0; // number of stream events sent to the caller
+    std::int64_t m_firstMs = -1; // time from the request to the first event; -1: none yet
     instant m_lastEventAt;
-    duration m_longestPause = duration::zero(); // between two of them
+    duration m_longestGap = duration::zero(); // longest time between two events
     bool m_isFinished = false;
     bool m_isPaused = false;
 };
--- a/libs/gateway/src/flow_table.cpp
+++ b/libs/gateway/src/flow_table.cpp
@@ -1,4 +1,4 @@
-// From a request to its commands, and back.
+// Passes requests to the dispatcher and executes the commands that it returns.
 #include "flow_table.h"
 
 namespace tamarack {
@@ -7,9 +7,9 @@
 
     using namespace std::chrono_literals;
 
-    /// For callers that do not say how long they wait.
-    constexpr duration usualPatience = 30s;
-    /// Of a call that frees a cache; the engine frees it by itself after some seconds.
+    /// For callers that send no deadline.
+    constexpr duration defaultTimeLeft = 30s;
+    /// Timeout of a call that releases a KV cache; the engine releases it by itself after some seconds.
     constexpr duration releaseTimeout = 1s;
 
 }
@@ -27,7 +27,7 @@
     out.configuration = wanted.configuration;
     out.route = wanted.route;
     out.service = serving::chooseService(*wanted.route, wanted.decoded.id);
-    out.patience = wanted.decoded.patience.value_or(usualPatience);
+    out.patience = wanted.decoded.timeLeft.value_or(defaultTimeLeft);
     out.text = wanted.decoded.text;
     return out;
 }
@@ -40,7 +40,7 @@
         m_services.decisions.ended(id, attempt, result, cacheName, boot_clock::now(), next);
         execute(std::move(next));
     };
-    out.onCallerGone = [this, id] { callerGone(id); };
+    out.onCallerGone = [this, id] { handleCallerGone(id); };
     out.onFinished = [this, id] { m_flows.erase(id); };
     return out;
 }
@@ -50,7 +50,7 @@
     auto request = servingRequest(wanted);
     auto flow = std::make_shared<caller_flow>(
         m_services, std::move(wanted.request), std::move(wanted.decoded), *wanted.route, std::move(wanted.caller));
-    flow->taken(request);
+    flow->logAccepted(request);
     serving::command_list commands;
     const request_id id = m_services.decisions.arrive(std::move(request), boot_clock::now(), commands);
     m_flows[id] = flow;
@@ -58,20 +58,21 @@
     execute(std::move(commands));
 }
 
-void flow_table::callerGone(request_id id)
+void flow_table::handleCallerGone(request_id id)
 {
     const auto flow = find(id);
     if (!flow)
         return;
     m_services.counters.count("tamarack_callers_gone_total");
-    // A call that may run only once and is at its target goes on there: breaking it off would leave half of its work
-    // done, with nobody to ask again. Everything else stops, so that targets do not work for nobody.
-    if (!flow->isRepeatable() && !flow->isStream() && flow->isAtTarget())
+    // A non-idempotent request that has reached its target continues there: cancelling it would leave its work half
+    // done, with no caller left to retry. Everything else is cancelled, so that targets do not work for callers that
+    // have disconnected.
+    if (!flow->isRepeatable() && !flow->isStream() && flow->hasActiveAttempt())
         return;
     serving::command_list commands;
     m_services.decisions.abandoned(id, boot_clock::now(), commands);
     execute(std::move(commands));
-    flow->drop();
+    flow->abandon();
 }
 
 void flow_table::execute(serving::command_list commands)
@@ -84,7 +85,7 @@
     while (!m_pending.empty()) {
         const auto command = std::move(m_pending.front());
         m_pending.pop_front();
-        executeOne(command);
+        executeCommand(command);
     }
     m_isExecuting = false;
     m_onExecuted();
@@ -96,7 +97,7 @@
     return found == m_flows.end() ? nullptr : found->second;
 }
 
-void flow_table::executeOne(const serving::command& command)
+void flow_table::executeCommand(const serving::command& command)
 {
     if (const auto* released = std::get_if<serving::release_cache>(&command))
         return release(released->cache);
@@ -112,11 +113,12 @@
             flow->refuse(refusal->kind, refusal->retryAfter);
     } else if (const auto* passed = std::get_if<serving::pass_failure_on>(&command)) {
         if (const auto flow = find(passed->request))
-            flow->passFailureOn();
+            flow->forwardFailure();
     }
 }
 
-// What goes wrong without it: the engine keeps a KV cache that nobody will take, and has less room for requests.
+// Without this call the engine would hold a KV cache that no decode stage fetches, leaving it less capacity for
+// requests.
 void flow_table::release(const serving::cache_handle& cache)
 {
     const auto& fleet = m_services.decisions.fleet();
--- a/libs/gateway/src/flow_table.h
+++ b/libs/gateway/src/flow_table.h
@@ -1,4 +1,4 @@
-// The flows of the requests that this node holds, and what the decisions say about them carried out.
+// Holds the flows of all requests on this node and executes the dispatcher's commands on them.
 #pragma once
 
 #include "caller_flow.h"
@@ -10,7 +10,7 @@
 
 namespace tamarack {
 
-/// A caller's request for which a route was found.
+/// A caller's request with its matching route.
 struct routed_request {
     http_request request;
     caller_request decoded;
@@ -21,26 +21,26 @@
 
 class flow_table {
 public:
-    /// `onExecuted`: commands were carried out; prompts may have gone to engines.
+    /// `onExecuted` is called after commands were executed, which may have sent prompts to engines.
     flow_table(flow_services& services, std::function<void()> onExecuted);
 
     void submit(routed_request wanted);
-    /// Carrying out a command may yield further ones, also from within.
+    /// Executes commands in order. Execution may add further commands, also reentrantly.
     void execute(serving::command_list commands);
 
 private:
     serving::serving_request servingRequest(const routed_request& wanted) const;
     caller_flow::callbacks callbacksFor(request_id id);
-    void callerGone(request_id id);
-    void executeOne(const serving::command& command);
+    void handleCallerGone(request_id id);
+    void executeCommand(const serving::command& command);
     void release(const serving::cache_handle& cache);
-    /// Null if its caller has gone meanwhile.
+    /// Returns null if the caller has disconnected meanwhile.
     std::shared_ptr<caller_flow> find(request_id id) const;
 
     flow_services& m_services;
     std::function<void()> m_onExecuted;
     std::unordered_map<request_id, std::shared_ptr<caller_flow>> m_flows;
-    std::deque<serving::command> m_pending; // commands not carried out yet
+    std::deque<serving::command> m_pending; // commands not executed yet
     bool m_isExecuting = false;
 };
 
--- a/libs/gateway/src/gateway.cpp
+++ b/libs/gateway/src/gateway.cpp
@@ -1,4 +1,4 @@
-// Wires the parts together, and carries out what the decisions say.
+// Creates and connects the parts of a node, and runs its periodic work.
 #include "gateway/gateway.h"
 
 #include "cache_watch.h"
@@ -23,31 +23,31 @@
 
 namespace {
 
-    /// Waiting requests and times are looked at this often; an answer's end looks at once.
+    /// Interval of the periodic work, such as timeouts and waiting requests; the end of a response is handled at once.
     constexpr auto decisionInterval = 20ms;
-    /// Left of the stop bound when the process ends by itself.
+    /// Time left before the stop bound when the process exits by itself.
     constexpr duration stopMargin = 700ms;
-    /// From the end of listening to the end of the process, so that what was written leaves.
-    constexpr duration lastFlush = 150ms;
-    /// A node that lacks something looks for a peer to ask this often.
+    /// From the end of listening to process exit, so that buffered bytes are sent.
+    constexpr duration finalFlushDelay = 150ms;
+    /// Interval of the checks whether state has to be pulled from a peer.
     constexpr duration pullInterval = 500ms;
-    /// Of the answers on entry addresses some are kept this many times their lifetime; a stop waits for them.
-    constexpr int longestEntryKeeping = 3;
-    /// Of the descriptors, for callers; the others are for targets, the store and peers.
+    /// Some callers cache entry addresses for up to this many lifetimes; a drain waits for them.
+    constexpr int maxCachedLifetimes = 3;
+    /// Share of the file descriptors for callers; the others are for targets, the store and peers.
     constexpr double callerDescriptorShare = 0.6;
-    /// Of the process's memory, for bodies that come in.
-    constexpr double heldBytesShare = 0.25;
+    /// Share of the process's memory for request bodies.
+    constexpr double bodyMemoryShare = 0.25;
     constexpr std::uint64_t bytesPerMegabyte = 1'000'000;
-    /// A node that has just started hears its peers before it takes itself for the only one; they beat ten times a
-    /// second, twice a second where there are 80 of them.
-    constexpr duration listenFirst = 1s;
-    /// Who does what for all is looked at this often.
+    /// After its start a node waits for its peers' heartbeats before it assigns duties, so that it does not take itself
+    /// for the only node. Heartbeats are sent ten times a second, and twice a second with 80 nodes.
+    constexpr duration peerDiscoveryDelay = 1s;
+    /// Interval at which the duties that one node performs for others are assigned.
     constexpr duration dutyInterval = 100ms;
-    /// Nodes that start together register within this time, in milliseconds.
-    constexpr int registrationSpread = 5000;
-    constexpr std::uint64_t hashTurns = 1024;
-    constexpr duration stateLife = 100ms;
-    /// Gauges are as old as this.
+    /// Nodes that start together spread their registrations over this time, in milliseconds.
+    constexpr int registrationSpreadMilliseconds = 5000;
+    constexpr std::uint64_t registrationSlots = 1024;
+    constexpr duration encodedStateLifetime = 100ms;
+    /// Interval at which gauges are updated.
     constexpr duration metricsInterval = 500ms;
 
     QHostAddress addressOf(const endpoint& place) { return QHostAddress(QString::fromStdString(place.address)); }
@@ -61,16 +61,16 @@
         gateway_settings given, gateway_ports implementations, http_client& connections, std::function<void()> stopped);
 
     std::string start();
-    /// Nobody else has told what the store would: it is read.
-    void startAlone();
-    /// A peer has.
-    void startTold();
+    /// No peer has supplied the state, so the store is read.
+    void startFromStore();
+    /// A peer has supplied the state.
+    void startFromPeer();
     void drain();
     void configure(const std::shared_ptr<const serving::serving_configuration>& configuration);
     http_server_limits limits() const;
     serving::node_state self() const;
     bool isReady() const;
-    const std::string& offeredState();
+    const std::string& encodedState();
 
     void handleCaller(http_request request, std::shared_ptr<response_writer> caller);
     void refuse(const std::shared_ptr<response_writer>& caller, error_kind kind, std::string_view detail);
@@ -78,10 +78,10 @@
     void tick();
     void checkDrain(instant now);
     void publishMetrics(instant now);
-    void shareDuties(instant now);
+    void assignDuties(instant now);
     void assignStoreReading(serving::node_state me, const std::vector<serving::node_state>& alive, instant now);
     void logReadiness();
-    void logLost(const std::vector<serving::lost_node>& lost);
+    void logLostPeers(const std::vector<serving::lost_node>& lost);
     void logHealth(const serving::health_change& change);
 
     gateway_settings settings;
@@ -92,23 +92,23 @@
     logger log;
     serving::dispatcher decisions;
     serving::node_directory nodes;
-    shared_view view;
+    cluster_view view;
     state_pull pull;
-    registration registered;
+    registration nodeRegistration;
     flow_services services;
-    cache_watch caches;
-    role_orders roles;
-    peer_talk peers;
+    cache_monitor caches;
+    role_coordinator roles;
+    peer_messenger peers;
     http_server callers;
-    service_pages pages;
+    node_endpoints pages;
     flow_table flows;
     QTimer decisionTimer;
     instant drainingSince; // set by drain()
-    instant nextMetrics;
-    instant nextDuties;
+    instant nextMetricsAt;
+    instant nextDutiesAt;
     instant startedAt = boot_clock::now();
-    std::string stateText; // what peers were told last of all that this node knows
-    instant stateAt;
+    std::string encodedStateText; // last encoded state, served to peers
+    instant encodedStateAt;
     bool isDraining = false;
     bool isStopped = false;
     bool wasReady = false;
@@ -130,7 +130,7 @@
     serving::order_lease_settings leaseSettings(const gateway_settings& settings)
     {
         serving::order_lease_settings out;
-        out.turn = settings.orderTurn;
+        out.turn = settings.orderHandoverInterval;
         return out;
     }
 
@@ -138,7 +138,8 @@
     {
         logger_options out;
         out.vm = settings.vm;
-        // The store gives a process its incarnation only later; the start tells the lives of a node apart until then.
+        // The store assigns the incarnation only after registration. Until then the start time distinguishes the
+        // processes of a node.
         out.instance = settings.vm + "/" + std::to_string(boot_clock::now().time_since_epoch().count());
         out.isUnbuffered = false;
         return out;
@@ -157,16 +158,17 @@
     , nodes(settings.vm, {})
     , view({ ports.records, ports.store, decisions, nodes, counters, log }, settings,
           { [this](const auto& configuration) { configure(configuration); },
-              [this](serving::target_note note) { peers.tellTargets(std::move(note)); }, [this] { pull.storeLost(); },
-              [this] { pull.behind(); }, [this] { peers.tellReadProgress(); } })
-    , pull({ client, view, nodes, log, [this] { return self(); }, [this] { startTold(); }, [this] { startAlone(); } },
+              [this](serving::target_note note) { peers.broadcastTargetChanges(std::move(note)); },
+              [this] { pull.onStoreLost(); }, [this] { pull.onBehind(); }, [this] { peers.broadcastReadProgress(); } })
+    , pull({ client, view, nodes, log, [this] { return self(); }, [this] { startFromPeer(); },
+               [this] { startFromStore(); } },
           pullInterval, settings.seeds)
-    , registered(
-          ports.store, [this] { return self(); }, log, [this] { view.registered(); })
+    , nodeRegistration(
+          ports.store, [this] { return self(); }, log, [this] { view.onNodeRegistered(); })
     , services { client, decisions, ports.callers, ports.targets, counters, log }
     , caches(client, ports.targets, decisions, counters, log,
-          [this](std::vector<cache_news> listed) { peers.tellCaches(std::move(listed)); })
-    , roles({ client, ports.targets, ports.store, decisions, counters, log, [this] { peers.beat(); },
+          [this](std::vector<cache_update> updates) { peers.broadcastCacheUpdates(std::move(updates)); })
+    , roles({ client, ports.targets, ports.store, decisions, counters, log, [this] { peers.sendHeartbeat(); },
                 [this] { view.checkStoreReach(); } },
           settings.vm, leaseSettings(settings))
     , peers({ decisions, nodes, view, caches, roles, log, [this] { return self(); } })
@@ -178,10 +180,10 @@
           [this](error_kind kind, std::string_view detail) {
               return ports.callers.refusal(kind, detail, answerFor(kind).retryAfter);
           })
-    , pages({ ports.callers, nodes, counters, [this] { return self(); }, [this] { return offeredState(); },
-          [this] { return encodeState(view.offeredConfiguration()); },
-          [this] { return encodeCaches(caches.known(boot_clock::now())); } })
-    , flows(services, [this] { peers.jobsSent(); })
+    , pages({ ports.callers, nodes, counters, [this] { return self(); }, [this] { return encodedState(); },
+          [this] { return encodeState(view.exportConfiguration()); },
+          [this] { return encodeCaches(caches.snapshot(boot_clock::now())); } })
+    , flows(services, [this] { peers.scheduleJobAnnouncement(); })
 {
     QObject::connect(&decisionTimer, &QTimer::timeout, [this] { tick(); });
 }
@@ -190,34 +192,35 @@
 {
     callers.setLimits(limits());
     if (!callers.listen(addressOf(settings.callers), settings.callers.port))
-        return toString(settings.callers) + " cannot be listened on";
-    if (const auto taken = pages.listen(settings); !taken.empty())
-        return taken + " cannot be listened on";
+        return toString(settings.callers) + ": cannot listen on this address";
+    if (const auto address = pages.listen(settings); !address.empty())
+        return address + ": cannot listen on this address";
     if (!peers.listen(settings.peers))
-        return toString(settings.peers) + " cannot be listened on";
+        return toString(settings.peers) + ": cannot listen on this address";
     log.write(log_event::node_started,
         { { "availability_zone", settings.availabilityZone }, { "callers", toString(settings.callers) },
             { "first_start", settings.isFirstStart } });
     decisionTimer.start(decisionInterval);
-    peers.beat();
+    peers.sendHeartbeat();
     if (!pull.start())
-        startAlone();
+        startFromStore();
     return {};
 }
 
-void gateway::state::startAlone()
+void gateway::state::startFromStore()
 {
     view.start();
-    registered.start();
+    nodeRegistration.start();
 }
 
-// What goes wrong without the spread: 300 nodes that are told at the same moment append to one topic, which takes them
-// one after the other, and turns away what would wait for two seconds.
-void gateway::state::startTold()
+// Registrations are spread because the store appends to a topic one record at a time and rejects calls that would wait
+// longer than two seconds, which happens when 300 nodes that have loaded the state at the same moment all register.
+void gateway::state::startFromPeer()
 {
-    view.startTold();
-    const double turn = static_cast<double>(stableHash(settings.vm) % hashTurns) / hashTurns;
-    QTimer::singleShot(static_cast<int>(turn * registrationSpread), &decisionTimer, [this] { registered.start(); });
+    view.startFromPeer();
+    const double spread = static_cast<double>(stableHash(settings.vm) % registrationSlots) / registrationSlots;
+    QTimer::singleShot(static_cast<int>(spread * registrationSpreadMilliseconds), &decisionTimer,
+        [this] { nodeRegistration.start(); });
 }
 
 http_server_limits gateway::state::limits() const
@@ -225,43 +228,43 @@
     http_server_limits out;
     out.connections = static_cast<int>(settings.descriptors * callerDescriptorShare);
     out.heldBytes = static_cast<std::uint64_t>(
-        heldBytesShare * static_cast<double>(settings.memoryMegabytes) * static_cast<double>(bytesPerMegabyte));
+        bodyMemoryShare * static_cast<double>(settings.memoryMegabytes) * static_cast<double>(bytesPerMegabyte));
     if (!view.hasConfiguration())
         return out;
-    const auto& told = view.configuration()->limits();
-    out.headerBytes = told.headerBytes;
-    out.bodyBytes = told.bodyBytes;
-    out.headerTimeout = told.headerTimeout;
-    out.idleTimeout = told.idleTimeout;
+    const auto& configured = view.configuration()->limits();
+    out.headerBytes = configured.headerBytes;
+    out.bodyBytes = configured.bodyBytes;
+    out.headerTimeout = configured.headerTimeout;
+    out.idleTimeout = configured.idleTimeout;
     return out;
 }
 
 void gateway::state::configure(const std::shared_ptr<const serving::serving_configuration>&)
 {
     callers.setLimits(limits());
-    if (view.tellsOthers())
-        peers.beat(); // which tells the others of the version at once
+    if (view.sharesReads())
+        peers.sendHeartbeat(); // announces the version to peers at once
 }
 
 bool gateway::state::isReady() const { return !isDraining && view.hasConfiguration() && view.hasTargets(); }
 
-// What goes wrong without keeping it: of 300 nodes that start, a hundred ask each seed at once, and it packs the same
-// state for each of them while it should serve.
-const std::string& gateway::state::offeredState()
+// The encoded state is cached: when 300 nodes start, a hundred of them ask each seed at once, and encoding the same
+// state for each would keep the seed from serving requests.
+const std::string& gateway::state::encodedState()
 {
     const auto now = boot_clock::now();
-    if (now >= stateAt + stateLife) {
-        stateAt = now;
-        stateText = encodeState(view.offered(self()));
+    if (now >= encodedStateAt + encodedStateLifetime) {
+        encodedStateAt = now;
+        encodedStateText = encodeState(view.exportState(self()));
     }
-    return stateText;
+    return encodedStateText;
 }
 
 serving::node_state gateway::state::self() const
 {
     serving::node_state out;
     out.vm = settings.vm;
-    out.incarnation = registered.incarnation();
+    out.incarnation = nodeRegistration.incarnation();
     out.availabilityZone = settings.availabilityZone;
     out.address = settings.callers.address;
     out.callerPort = settings.callers.port;
@@ -272,7 +275,7 @@
     out.configurationVersion = view.hasConfiguration() ? view.configuration()->version() : 0;
     out.storeReach = view.storeReach();
     out.lastTargetChange = view.lastTargetChange();
-    out.readsForOthers = view.readsClosely();
+    out.readsForOthers = view.isReader();
     out.linkMegabits = settings.linkMegabits;
     out.knownNodes = static_cast<std::uint16_t>(std::min(nodes.knownCount(), 65535));
     return out;
@@ -286,7 +289,7 @@
 
 void gateway::state::handleCaller(http_request request, std::shared_ptr<response_writer> caller)
 {
-    // A node that knows no configuration cannot say which routes there are, so this comes before any other check.
+    // Without a configuration the routes are unknown, so this check precedes all others.
     if (!view.hasConfiguration() || !view.hasTargets())
         return refuse(caller, error_kind::not_ready, answerFor(error_kind::not_ready).title);
     auto decoded = ports.callers.decode(request);
@@ -308,12 +311,12 @@
 {
     const auto now = boot_clock::now();
     view.tick(now);
-    logLost(nodes.tick(now));
+    logLostPeers(nodes.tick(now));
     for (const auto& change : decisions.takeHealthChanges())
         logHealth(change);
     decisions.setKnownNodes(view.knowsNodes() ? nodes.knownCount() : 0);
-    if (now >= nextDuties)
-        shareDuties(now);
+    if (now >= nextDutiesAt)
+        assignDuties(now);
     serving::command_list commands;
     decisions.tick(now, commands);
     flows.execute(std::move(commands));
@@ -324,11 +327,11 @@
     log.flush();
 }
 
-// Of each zone one node reads the target list closely, and tells the others what has changed.
-void gateway::state::shareDuties(instant now)
+// In each availability zone one node polls the store closely and notifies the others of changes.
+void gateway::state::assignDuties(instant now)
 {
-    nextDuties = now + dutyInterval;
-    if (now < startedAt + listenFirst)
+    nextDutiesAt = now + dutyInterval;
+    if (now < startedAt + peerDiscoveryDelay)
         return;
     const auto me = self();
     const auto alive = nodes.alive(now);
@@ -342,16 +345,16 @@
     serving::node_state me, const std::vector<serving::node_state>& alive, instant now)
 {
     me.readsForOthers = serving::readsForZone(me, alive);
-    view.setReadsClosely(me.readsForOthers, serving::confirmsForFleet(me, alive));
+    view.setReader(me.readsForOthers, serving::confirmsForFleet(me, alive));
     if (view.isStale(now))
         view.refreshIfStale(serving::refreshRank(me, alive), now);
 }
 
 void gateway::state::publishMetrics(instant now)
 {
-    if (now < nextMetrics)
+    if (now < nextMetricsAt)
         return;
-    nextMetrics = now + metricsInterval;
+    nextMetricsAt = now + metricsInterval;
     const auto& fleet = decisions.fleet();
     int known = 0;
     int draining = 0;
@@ -371,17 +374,17 @@
     counters.set("tamarack_store_topic_reachable", view.isConfigurationTopicReachable() ? 1 : 0,
         { { "topic", "configuration" } });
     counters.set("tamarack_store_topic_reachable", view.isTargetTopicReachable() ? 1 : 0, { { "topic", "targets" } });
-    counters.set("tamarack_reads_store_for_zone", view.readsClosely() ? 1 : 0);
+    counters.set("tamarack_reads_store_for_zone", view.isReader() ? 1 : 0);
     counters.set("tamarack_configuration_age_seconds", seconds(view.configurationAge(now)));
     counters.set("tamarack_target_list_age_seconds", seconds(view.targetsAge(now)));
     counters.set("tamarack_log_lines_left_out", static_cast<double>(log.linesLeftOut()));
     counters.set("tamarack_peer_undecodable", static_cast<double>(peers.undecodable()));
     counters.set("tamarack_peer_datagrams_sent", static_cast<double>(peers.counts().sent));
     counters.set("tamarack_peer_bytes_sent", static_cast<double>(peers.counts().sentBytes));
-    counters.set("tamarack_peer_datagrams_heard", static_cast<double>(peers.counts().heard));
+    counters.set("tamarack_peer_datagrams_heard", static_cast<double>(peers.counts().received));
 }
 
-void gateway::state::logLost(const std::vector<serving::lost_node>& lost)
+void gateway::state::logLostPeers(const std::vector<serving::lost_node>& lost)
 {
     if (lost.size() == 1)
         return log.write(
@@ -422,16 +425,16 @@
     drainingSince = boot_clock::now();
     log.write(log_event::drain_started, { { "held", decisions.held() }, { "connections", callers.connectionCount() } });
     callers.beginDrain();
-    peers.beat(); // peers stop naming this node at once
+    peers.sendHeartbeat(); // peers remove this node from the entry addresses at once
 }
 
-// Callers that asked for addresses just before the drain come until they have asked anew; after that the process ends
-// as soon as it holds no request, and in any case before the platform would end it.
+// Callers that resolved the entry addresses just before the drain keep arriving until their cached answers expire.
+// After that the process exits once it holds no request, and in any case before the platform would kill it.
 void gateway::state::checkDrain(instant now)
 {
     if (isStopped)
         return;
-    const auto noneComesAfter = drainingSince + longestEntryKeeping * service_pages::entryLifetime();
+    const auto noneComesAfter = drainingSince + maxCachedLifetimes * node_endpoints::entryLifetime();
     const auto last = drainingSince + settings.stopBound - stopMargin;
     const bool isDone = now >= noneComesAfter && decisions.held() == 0;
     if (!isDone && now < last)
@@ -441,7 +444,7 @@
     callers.closeIdle();
     log.write(
         log_event::drain_finished, { { "held", decisions.held() }, { "connections", callers.connectionCount() } });
-    QTimer::singleShot(std::chrono::duration_cast<std::chrono::milliseconds>(lastFlush), [this] { onStopped(); });
+    QTimer::singleShot(std::chrono::duration_cast<std::chrono::milliseconds>(finalFlushDelay), [this] { onStopped(); });
 }
 
 gateway::gateway(gateway_settings settings, gateway_ports ports, http_client& client, std::function<void()> onStopped)
@@ -457,7 +460,7 @@
 {
     m_state->settings.stopBound = settings.stopBound;
     m_state->pull.setSeeds(settings.seeds);
-    m_state->pages.setLongestEntryLifetime(settings.longestEntryLifetime);
+    m_state->pages.setMaxEntryLifetime(settings.maxEntryLifetime);
     m_state->callers.setLimits(m_state->limits());
     m_state->log.write(log_event::settings_reloaded);
 }
--- a/libs/gateway/src/node_messages.cpp
+++ b/libs/gateway/src/node_messages.cpp
@@ -1,4 +1,4 @@
-// Cereal's portable binary archive behind a version byte.
+// Encodes messages with cereal's portable binary archive, prefixed by a version byte.
 #include "node_messages.h"
 
 #include <QByteArray>
@@ -15,29 +15,28 @@
 
 namespace {
 
-    /// Another version is another format: what cannot be read is dropped, and the nodes of a version know each other.
+    /// Messages of another version are dropped as unreadable, so only nodes of the same version communicate.
     constexpr char formatVersion = 16;
-    /// 1,472 bytes fit into a datagram that is not split; a load takes 6, a job 27, news of a cache 16, of a
-    /// target's health 8, a change of role 4, the
-    /// sender some 35, or 140 when it tells all of itself. Changes of role are seldom many, and then before
-    /// there is any load.
-    constexpr std::size_t mostLoads = 60;
-    constexpr std::size_t mostJobs = 18;
-    constexpr std::size_t mostCaches = 12;
-    constexpr std::size_t mostCachesOfNote = 80;
-    constexpr std::size_t mostHealth = 12;
-    constexpr std::size_t mostChanging = 30;
-    /// Of changes in one note, besides the note's own 40 bytes; a single larger one goes alone.
-    constexpr std::size_t mostNoteBytes = 1'300;
-    /// What a change takes beyond its texts: their lengths and the numbers.
+    /// A datagram that is not fragmented holds 1,472 bytes. A load entry takes 6 bytes, a job 27, a cache update 16, a
+    /// target's health 8, a role change 4, and the sender some 35, or 140 with its full state. There are rarely many
+    /// role changes, and then only before there is any load.
+    constexpr std::size_t maxLoads = 60;
+    constexpr std::size_t maxJobs = 18;
+    constexpr std::size_t maxCacheUpdates = 12;
+    constexpr std::size_t maxUpdatesPerBatch = 80;
+    constexpr std::size_t maxHealthReports = 12;
+    constexpr std::size_t maxRoleChanges = 30;
+    /// Limit of the changes in one note, besides the note's own 40 bytes; a single larger change is sent alone.
+    constexpr std::size_t maxNoteBytes = 1'300;
+    /// Encoded size of a change without the contents of its strings: their length fields and the numbers.
     constexpr std::size_t changeOverhead = 90;
 
-    /// Packs a configuration to a tenth already, in a third of the time of the usual level.
+    /// The fastest level already compresses a configuration to a tenth, in a third of the time of the default level.
     constexpr int fastestCompression = 1;
-    constexpr std::size_t sizeBytes = 4;
-    /// The store takes no larger record than a quarter of a megabyte in one piece, and operators' texts of some
+    constexpr std::size_t sizePrefixBytes = 4;
+    /// The store accepts records of at most a quarter of a megabyte in one piece, and configurations have some
     /// megabytes at most.
-    constexpr std::uint32_t mostUnpackedBytes = 64U << 20;
+    constexpr std::uint32_t maxDecompressedBytes = 64U << 20;
 
     std::size_t sizeOf(const serving::target_news& news)
     {
@@ -47,7 +46,8 @@
         return size;
     }
 
-    /// A list of at most 255 entries: cereal's own counts take eight bytes, of which a heartbeat would have five.
+    /// Archives a list of at most 255 entries with a one-byte count. Cereal's own counts take eight bytes each, of
+    /// which a heartbeat would have five.
     template <class Archive, class Entry> void archiveShort(Archive& archive, std::vector<Entry>& list)
     {
         auto count = static_cast<std::uint8_t>(std::min<std::size_t>(list.size(), 255));
@@ -57,7 +57,7 @@
             archive(entry);
     }
 
-    /// A text of at most 65,535 bytes, in two bytes more.
+    /// A string of at most 65,535 bytes, archived with a two-byte length.
     struct short_text {
         std::string& text;
     };
@@ -97,7 +97,7 @@
             archive(message);
             return message;
         } catch (const std::exception&) {
-            return std::nullopt; // counted by the caller; cut or forged bytes are expected on a network
+            return std::nullopt; // the caller counts it; truncated or forged bytes are expected on a network
         }
     }
 
@@ -144,7 +144,7 @@
     {
         archive(m.offset, m.name, m.record);
         if (m.record)
-            m.record->name = m.name; // told once
+            m.record->name = m.name; // sent only once
     }
 
     template <class Archive> void serialize(Archive& archive, relay_load& m)
@@ -172,36 +172,36 @@
 
 }
 
-template <class Archive> void serialize(Archive& archive, cache_news& m) { archive(m.target, m.part, m.tokens); }
+template <class Archive> void serialize(Archive& archive, cache_update& m) { archive(m.target, m.part, m.tokens); }
 
 template <class Archive> void serialize(Archive& archive, node_heartbeat& m)
 {
-    archive(m.pulse, m.whole);
+    archive(m.pulse, m.fullState);
     archiveShort(archive, m.load);
     archiveShort(archive, m.jobs);
     archiveShort(archive, m.caches);
     archiveShort(archive, m.health);
-    archiveShort(archive, m.changing);
+    archiveShort(archive, m.changingEngines);
 }
 
-template <class Archive> void serialize(Archive& archive, job_note& m)
+template <class Archive> void serialize(Archive& archive, job_announcement& m)
 {
     archive(m.node);
     archiveShort(archive, m.jobs);
 }
 
-template <class Archive> void serialize(Archive& archive, cache_note& m) { archiveShort(archive, m.caches); }
+template <class Archive> void serialize(Archive& archive, cache_update_batch& m) { archiveShort(archive, m.caches); }
 
-template <class Archive> void serialize(Archive& archive, read_note& m)
+template <class Archive> void serialize(Archive& archive, read_progress& m)
 {
     archive(m.node, m.startedAt, m.sentAt, m.configurationVersion, m.configurationAt, m.lastTargetChange, m.targetsAt);
 }
 
-template <class Archive> void serialize(Archive& archive, known_caches& m) { archive(m.parts, m.isComplete); }
+template <class Archive> void serialize(Archive& archive, cache_snapshot& m) { archive(m.parts, m.isComplete); }
 
-template <class Archive> void serialize(Archive& archive, node_greeting& m) { archive(m.sender, m.isSeeking); }
+template <class Archive> void serialize(Archive& archive, node_probe& m) { archive(m.sender, m.expectsReply); }
 
-template <class Archive> void serialize(Archive& archive, packed_record& m) { archive(m.offset, m.key, m.bytes); }
+template <class Archive> void serialize(Archive& archive, compressed_record& m) { archive(m.offset, m.key, m.bytes); }
 
 template <class Archive> void serialize(Archive& archive, shared_state& m)
 {
@@ -210,17 +210,17 @@
 
 namespace {
 
-    std::string packed(std::string_view value)
+    std::string compressBytes(std::string_view value)
     {
         return qCompress(
             reinterpret_cast<const uchar*>(value.data()), static_cast<qsizetype>(value.size()), fastestCompression)
             .toStdString();
     }
 
-    std::optional<std::string> unpacked(std::string_view bytes)
+    std::optional<std::string> decompressBytes(std::string_view bytes)
     {
-        // The bytes begin with the size that they unpack to, for which memory is taken.
-        if (bytes.size() < sizeBytes || qFromBigEndian<std::uint32_t>(bytes.data()) > mostUnpackedBytes)
+        // The compressed bytes start with the decompressed size, which determines the allocation.
+        if (bytes.size() < sizePrefixBytes || qFromBigEndian<std::uint32_t>(bytes.data()) > maxDecompressedBytes)
             return std::nullopt;
         const auto value = qUncompress(QByteArray::fromRawData(bytes.data(), static_cast<qsizetype>(bytes.size())));
         return value.isEmpty() ? std::nullopt : std::optional(value.toStdString());
@@ -228,14 +228,14 @@
 
 }
 
-packed_record pack(const keyed_record& record)
+compressed_record compress(const keyed_record& record)
 {
-    return { record.offset, record.key, packed(record.value ? *record.value : std::string()) };
+    return { record.offset, record.key, compressBytes(record.value ? *record.value : std::string()) };
 }
 
-std::optional<keyed_record> unpack(const packed_record& record)
+std::optional<keyed_record> decompress(const compressed_record& record)
 {
-    auto value = unpacked(record.bytes);
+    auto value = decompressBytes(record.bytes);
     if (!value)
         return std::nullopt;
     return keyed_record { record.offset, record.key, std::move(*value) };
@@ -244,22 +244,22 @@
 std::string encodeDatagram(peer_datagram message)
 {
     if (auto* heartbeat = std::get_if<node_heartbeat>(&message)) {
-        heartbeat->load.resize(std::min(heartbeat->load.size(), mostLoads));
-        heartbeat->jobs.resize(std::min(heartbeat->jobs.size(), mostJobs));
-        heartbeat->caches.resize(std::min(heartbeat->caches.size(), mostCaches));
-        heartbeat->health.resize(std::min(heartbeat->health.size(), mostHealth));
-        heartbeat->changing.resize(std::min(heartbeat->changing.size(), mostChanging));
+        heartbeat->load.resize(std::min(heartbeat->load.size(), maxLoads));
+        heartbeat->jobs.resize(std::min(heartbeat->jobs.size(), maxJobs));
+        heartbeat->caches.resize(std::min(heartbeat->caches.size(), maxCacheUpdates));
+        heartbeat->health.resize(std::min(heartbeat->health.size(), maxHealthReports));
+        heartbeat->changingEngines.resize(std::min(heartbeat->changingEngines.size(), maxRoleChanges));
     }
     return encode(message);
 }
 
-std::vector<serving::target_note> splitNote(serving::target_note note)
+std::vector<serving::target_note> splitTargetNote(serving::target_note note)
 {
     std::vector<serving::target_note> notes { { note.previous, note.previous, {} } };
     std::size_t bytes = 0;
     for (auto& change : note.changes) {
         const std::size_t size = sizeOf(change);
-        if (bytes > 0 && bytes + size > mostNoteBytes) {
+        if (bytes > 0 && bytes + size > maxNoteBytes) {
             const auto reached = notes.back().upTo;
             notes.push_back({ reached, reached, {} });
             bytes = 0;
@@ -275,37 +275,37 @@
 
 std::optional<peer_datagram> decodeDatagram(const std::string& bytes) { return decode<peer_datagram>(bytes); }
 
-std::string encodeLoad(const serving::relay_load& load) { return encode(load); }
+std::string encodeRelayPayload(const serving::relay_load& load) { return encode(load); }
 
-std::optional<serving::relay_load> decodeLoad(const std::string& bytes)
+std::optional<serving::relay_load> decodeRelayPayload(const std::string& bytes)
 {
     auto load = decode<serving::relay_load>(bytes);
     const bool isValid = load && load->step < serving::relay_step::count && load->pace < serving::told_pace::count;
     return isValid ? std::move(load) : std::nullopt;
 }
 
-std::string encodeState(const shared_state& state) { return packed(encode(state)); }
+std::string encodeState(const shared_state& state) { return compressBytes(encode(state)); }
 
 std::optional<shared_state> decodeState(const std::string& bytes)
 {
-    const auto message = unpacked(bytes);
+    const auto message = decompressBytes(bytes);
     return message ? decode<shared_state>(*message) : std::nullopt;
 }
 
-std::vector<cache_note> splitCaches(std::vector<cache_news> caches)
+std::vector<cache_update_batch> splitCacheUpdates(std::vector<cache_update> caches)
 {
-    std::vector<cache_note> notes;
+    std::vector<cache_update_batch> notes;
     for (auto& news : caches) {
-        if (notes.empty() || notes.back().caches.size() >= mostCachesOfNote)
+        if (notes.empty() || notes.back().caches.size() >= maxUpdatesPerBatch)
             notes.emplace_back();
         notes.back().caches.push_back(news);
     }
     return notes;
 }
 
-std::string encodeCaches(const known_caches& caches) { return encode(caches); }
+std::string encodeCaches(const cache_snapshot& caches) { return encode(caches); }
 
-std::optional<known_caches> decodeCaches(const std::string& bytes) { return decode<known_caches>(bytes); }
+std::optional<cache_snapshot> decodeCaches(const std::string& bytes) { return decode<cache_snapshot>(bytes); }
 
 std::string encodeNode(const serving::node_state& node) { return encode(node); }
 
--- a/libs/gateway/src/node_messages.h
+++ b/libs/gateway/src/node_messages.h
@@ -1,4 +1,4 @@
-// What nodes tell each other, and its encoding.
+// Messages between nodes and their binary encoding.
 #pragma once
 
 #include "gateway/keyed_log.h"
@@ -16,38 +16,38 @@
 
 namespace tamarack {
 
-/// A part of a prompt that an engine has or has no more, told by a node that watches its cache.
-struct cache_news {
-    std::uint32_t target = 0; ///< shortHash() of its instance
+/// A prompt prefix that was cached or evicted by an engine, as observed by a node that monitors the engine.
+struct cache_update {
+    std::uint32_t target = 0; ///< shortHash() of the engine's instance
     std::uint64_t part = 0;
-    std::uint32_t tokens = 0; ///< 0: no more
+    std::uint32_t tokens = 0; ///< length of the prefix; 0: evicted
 };
 
 struct node_heartbeat {
     serving::node_pulse pulse;
-    std::optional<serving::node_state> whole; ///< told when a node has started, and now and then
+    std::optional<serving::node_state> fullState; ///< full state of the sender; sent after its start and periodically
     std::vector<serving::load_entry> load;
-    std::vector<serving::told_job> jobs; ///< all that are not read yet
-    std::vector<cache_news> caches;
-    std::vector<serving::health_news> health; ///< of targets that have failed lately
-    std::vector<std::uint32_t> changing; ///< engines that the sender has change their role; shortHash() of each
+    std::vector<serving::told_job> jobs; ///< all jobs whose prefill is not finished
+    std::vector<cache_update> caches;
+    std::vector<serving::health_news> health; ///< of targets with recent failures
+    std::vector<std::uint32_t> changingEngines; ///< shortHash() of each engine whose role the sender is changing
 };
 
-/// Sent when prompts go to engines, so that peers do not choose the same engine before the next heartbeat.
-struct job_note {
+/// Sent when prompts are sent to engines, so that peers do not choose the same engine before the next heartbeat.
+struct job_announcement {
     std::uint32_t node = 0; ///< shortHash() of the sender's VM
     std::vector<serving::told_job> jobs;
 };
 
-/// Sent when an engine was asked for all that it keeps.
-struct cache_note {
-    std::vector<cache_news> caches;
+/// Sent after a full listing of an engine's cache.
+struct cache_update_batch {
+    std::vector<cache_update> caches;
 };
 
-/// Sent after each complete read of a store topic. Times are microseconds of the sender's boot clock.
-struct read_note {
+/// Sent after each complete read of a store topic. Times are in microseconds of the sender's boot clock.
+struct read_progress {
     std::uint32_t node = 0; ///< shortHash() of the sender's VM
-    std::int64_t startedAt = 0; ///< of the sender's process; changes on restart
+    std::int64_t startedAt = 0; ///< start time of the sender's process; changes on restart
     std::int64_t sentAt = 0;
     std::uint64_t configurationVersion = 0;
     std::int64_t configurationAt = 0; ///< 0: never read
@@ -55,57 +55,58 @@
     std::int64_t targetsAt = 0; ///< 0: never read
 };
 
-/// Sent to nodes that are known but not heard, and to those that seek this node.
-struct node_greeting {
+/// Sent to known nodes from which nothing is received, and as a reply to nodes that look for this one.
+struct node_probe {
     serving::node_state sender;
-    bool isSeeking = false; ///< the sender does not hear the receiver, and wants to
+    bool expectsReply = false; ///< the sender receives nothing from the addressee and asks for a reply
 };
 
-/// A record of the store, compressed: a configuration of 2,800 routes takes 0.8 MB as operators write it, which is 0.7
-/// s of a link of 10 Mbit/s, and a tenth of that compressed.
-struct packed_record {
+/// A compressed record of the store. A configuration of 2,800 routes takes 0.8 MB in the store, which is 0.7 s of a
+/// link of 10 Mbit/s; compressed it takes a tenth of that.
+struct compressed_record {
     std::int64_t offset = 0;
     std::string key;
     std::string bytes;
 };
 
-packed_record pack(const keyed_record& record);
-/// Empty if the bytes are no packed value, or one of an implausible size.
-std::optional<keyed_record> unpack(const packed_record& record);
+compressed_record compress(const keyed_record& record);
+/// Returns nothing if the bytes are malformed or the decompressed size is implausible.
+std::optional<keyed_record> decompress(const compressed_record& record);
 
-/// What a node lacks that has just started, or has not got the newest version yet.
+/// State for a node that has just started or has missed the newest version.
 struct shared_state {
-    std::optional<packed_record> configuration; ///< as operators wrote it
+    std::optional<compressed_record> configuration; ///< as written by operators
     serving::told_list targets;
-    std::vector<serving::told_node> nodes; ///< whether they seem alive or not
-    bool knowsNodes = false; ///< the sender knows all that have registered
+    std::vector<serving::told_node> nodes; ///< all known nodes, alive or not
+    bool knowsNodes = false; ///< the sender knows all nodes that have registered
     bool isStoreReachable = false; ///< by the sender
 };
 
-/// What a node knows of the engines' memories.
-struct known_caches {
-    std::vector<cache_news> parts;
-    bool isComplete = false; ///< it has watched for long enough, or was told by one that had
+/// A node's knowledge of the contents of the engines' caches.
+struct cache_snapshot {
+    std::vector<cache_update> parts;
+    bool isComplete
+        = false; ///< the sender has monitored the engines long enough, or has received a complete snapshot itself
 };
 
-/// A target note is sent by a node that follows the target list closely.
-using peer_datagram
-    = std::variant<node_heartbeat, job_note, serving::target_note, node_greeting, cache_note, read_note>;
+/// A target note is sent by a node that reads the target list on behalf of others.
+using peer_datagram = std::variant<node_heartbeat, job_announcement, serving::target_note, node_probe,
+    cache_update_batch, read_progress>;
 
-/// Heartbeats stay below the usual path MTU; what does not fit is left out.
+/// Encodes a message. Heartbeats are truncated to stay below the usual path MTU.
 std::string encodeDatagram(peer_datagram message);
-/// As many notes as it takes for each to stay below the usual path MTU, in one chain.
-std::vector<serving::target_note> splitNote(serving::target_note note);
+/// Splits a note into a chain of notes, each below the usual path MTU.
+std::vector<serving::target_note> splitTargetNote(serving::target_note note);
 std::optional<peer_datagram> decodeDatagram(const std::string& bytes);
-/// Its messages are encoded ones of any nodes, as they were told.
-std::string encodeLoad(const serving::relay_load& load);
-std::optional<serving::relay_load> decodeLoad(const std::string& bytes);
+/// Encodes the payload of a relay datagram, whose messages are already encoded and may come from any node.
+std::string encodeRelayPayload(const serving::relay_load& load);
+std::optional<serving::relay_load> decodeRelayPayload(const std::string& bytes);
 std::string encodeState(const shared_state& state);
 std::optional<shared_state> decodeState(const std::string& bytes);
-/// As many notes as it takes for each to stay below the usual path MTU.
-std::vector<cache_note> splitCaches(std::vector<cache_news> caches);
-std::string encodeCaches(const known_caches& caches);
-std::optional<known_caches> decodeCaches(const std::string& bytes);
+/// Splits updates into messages, each below the usual path MTU.
+std::vector<cache_update_batch> splitCacheUpdates(std::vector<cache_update> caches);
+std::string encodeCaches(const cache_snapshot& caches);
+std::optional<cache_snapshot> decodeCaches(const std::string& bytes);
 std::string encodeNode(const serving::node_state& node);
 std::optional<serving::node_state> decodeNode(const std::string& bytes);
 
--- a/libs/gateway/src/peer_mesh.h
+++ b/libs/gateway/src/peer_mesh.h
@@ -1,4 +1,4 @@
-// Datagrams between nodes, over UDP.
+// Sends and receives UDP datagrams between nodes.
 #pragma once
 
 #include "node_messages.h"
@@ -14,17 +14,17 @@
 struct datagram_counts {
     std::uint64_t sent = 0;
     std::uint64_t sentBytes = 0;
-    std::uint64_t heard = 0;
-    std::uint64_t undecodable = 0; ///< that were no messages
+    std::uint64_t received = 0;
+    std::uint64_t undecodable = 0; ///< datagrams that could not be decoded
 };
 
-class peer_mesh {
+class peer_socket {
 public:
-    using load_handler = std::function<void(const serving::node_place& from, const serving::relay_load&)>;
+    using payload_handler = std::function<void(const serving::node_place& from, const serving::relay_load&)>;
 
-    explicit peer_mesh(load_handler onLoad);
+    explicit peer_socket(payload_handler onPayload);
 
-    /// False if the port is taken.
+    /// Returns false if the port is in use.
     bool listen(const endpoint& address);
     void send(const serving::relay_datagram& datagram);
     const datagram_counts& counts() const { return m_counts; }
@@ -32,9 +32,9 @@
 private:
     void readDatagrams();
 
-    load_handler m_onLoad;
+    payload_handler m_onPayload;
     QUdpSocket m_socket;
-    std::array<char, 65536> m_buffer; // above any datagram: one that is cut short could not be read
+    std::array<char, 65536> m_buffer; // larger than any datagram, since a truncated one could not be decoded
     datagram_counts m_counts;
 };
 
--- a/libs/gateway/src/peer_talk.cpp
+++ b/libs/gateway/src/peer_talk.cpp
@@ -1,4 +1,5 @@
-// Heartbeats carry all; notes what cannot wait for the next one.
+// Implements the messages between nodes. Heartbeats carry the full picture; other messages carry what cannot wait for
+// the next heartbeat.
 #include "peer_talk.h"
 
 #include "base/hash.h"
@@ -11,196 +12,196 @@
 
     using namespace std::chrono_literals;
 
-    /// Peers' work is as old as this; an engine reads some 6,000 tokens meanwhile.
+    /// Information on peers' work is up to this old; an engine prefills some 6,000 tokens meanwhile.
     constexpr auto heartbeatInterval = 100ms;
-    /// Prompts sent within this time are told to peers together: a datagram for each costs more than it tells. One that
-    /// goes to a relay only costs little.
-    constexpr auto notePause = 5ms;
-    constexpr auto relayedNotePause = 1ms;
-    /// With more peers than this allows, heartbeats go out less often: each node sends so many datagrams a second.
-    constexpr int heartbeatsPerSecond = 160;
-    /// At the usual interval; a peer that is silent for longer counts as away, and its work as done.
-    constexpr duration shortestSilence = 700ms;
-    constexpr duration shortestPeerLife = 600ms;
-    /// Heartbeats that may be lost before a node counts as away, and a part of one for its way.
-    constexpr double heartbeatsUntilAway = 3.2;
-    constexpr std::size_t mostCacheNews = 12; // of a heartbeat
-    /// Where a node is takes three times as many bytes as the rest of its state, and peers know it from the store; with
-    /// 82 nodes heartbeats were half of all bytes between zones.
-    constexpr int beatsPerWhole = 8;
-    constexpr double beatSpread = 0.15; ///< of the interval, more or less
+    /// Prompts sent within this time are announced in one datagram, since a datagram for each would cost more than it
+    /// gains. If it goes to a relay only, it is cheap.
+    constexpr auto jobBatchDelay = 5ms;
+    constexpr auto relayedJobBatchDelay = 1ms;
+    /// Datagrams that a node sends per second; with more peers than this allows, heartbeats become less frequent.
+    constexpr int maxHeartbeatsPerSecond = 160;
+    /// At the usual heartbeat interval, a peer that is silent for longer counts as lost, and its jobs as finished.
+    constexpr duration minPeerTimeout = 700ms;
+    constexpr duration minPeerLoadExpiry = 600ms;
+    /// Number of heartbeat intervals without a heartbeat until a peer counts as lost, including the delivery time.
+    constexpr double heartbeatsUntilLost = 3.2;
+    constexpr std::size_t maxCacheUpdatesPerHeartbeat = 12;
+    /// A node's addresses take three times as many bytes as the rest of its state, and peers know them from the store.
+    /// With 82 nodes and full state in every heartbeat, heartbeats were half of all bytes between availability zones.
+    constexpr int heartbeatsPerFullState = 8;
+    constexpr double heartbeatJitter = 0.15; ///< share of the interval, in both directions
     constexpr int millisecondsPerSecond = 1000;
 
 }
 
-peer_talk::peer_talk(dependencies parts)
+peer_messenger::peer_messenger(dependencies parts)
     : m_parts(std::move(parts))
-    , m_mesh([this](const serving::node_place& from, const serving::relay_load& load) { heardLoad(from, load); })
+    , m_peerSocket([this](const serving::node_place& from, const serving::relay_load& load) { onPayload(from, load); })
     , m_random(stableHash(m_parts.self().vm))
     , m_ownHash(serving::shortHash(m_parts.self().vm))
 {
     m_relayTimer.setSingleShot(true);
     m_relayTimer.setTimerType(Qt::PreciseTimer);
-    QObject::connect(&m_relayTimer, &QTimer::timeout, [this] { passOn(); });
-    QObject::connect(&m_beatTimer, &QTimer::timeout, [this] { beat(); });
-    m_noteTimer.setSingleShot(true);
-    QObject::connect(&m_noteTimer, &QTimer::timeout, [this] { tellJobs(); });
+    QObject::connect(&m_relayTimer, &QTimer::timeout, [this] { sendDue(); });
+    QObject::connect(&m_heartbeatTimer, &QTimer::timeout, [this] { sendHeartbeat(); });
+    m_jobTimer.setSingleShot(true);
+    QObject::connect(&m_jobTimer, &QTimer::timeout, [this] { broadcastNewJobs(); });
 }
 
-bool peer_talk::listen(const endpoint& address) { return m_mesh.listen(address); }
+bool peer_messenger::listen(const endpoint& address) { return m_peerSocket.listen(address); }
 
-void peer_talk::beat()
+void peer_messenger::sendHeartbeat()
 {
     const auto now = boot_clock::now();
     auto& decisions = m_parts.decisions;
     auto& nodes = m_parts.nodes;
-    const bool isWhole = m_wholeBeats > 0 || m_beats % beatsPerWhole == 0;
-    m_wholeBeats = std::max(0, m_wholeBeats - 1);
-    ++m_beats;
-    tellAll(encodeDatagram(heartbeat(isWhole, now)), serving::told_pace::soon);
-    logReached();
-    // Those that are not heard may know nothing of this node, so they are told where it is.
-    if (const auto sought = nodes.toSeek(now); !sought.empty())
-        greet(sought, true);
-    const int wanted = nodes.knownCount() * millisecondsPerSecond / heartbeatsPerSecond;
-    const int interval = std::max(static_cast<int>(heartbeatInterval.count()), wanted);
-    // What goes wrong with equal pauses: nodes that once told something at the same moment do so for ever after.
-    m_beatTimer.start(static_cast<int>(interval * (1 + beatSpread * (2 * m_random.unit() - 1))));
-    const duration untilAway = fromSeconds(heartbeatsUntilAway * interval / millisecondsPerSecond);
-    decisions.setPeerLife(std::max(shortestPeerLife, untilAway));
-    nodes.setPeerTimeout(std::max(shortestSilence, untilAway));
+    const bool isFull = m_fullHeartbeatsLeft > 0 || m_heartbeatCount % heartbeatsPerFullState == 0;
+    m_fullHeartbeatsLeft = std::max(0, m_fullHeartbeatsLeft - 1);
+    ++m_heartbeatCount;
+    broadcast(encodeDatagram(heartbeat(isFull, now)), serving::told_pace::soon);
+    logReachablePeers();
+    // Nodes from which nothing is received may not know this node, so its address is sent to them.
+    if (const auto silentNodes = nodes.toSeek(now); !silentNodes.empty())
+        sendProbe(silentNodes, true);
+    const int minInterval = nodes.knownCount() * millisecondsPerSecond / maxHeartbeatsPerSecond;
+    const int interval = std::max(static_cast<int>(heartbeatInterval.count()), minInterval);
+    // Jitter keeps nodes that once sent a heartbeat at the same moment from doing so forever.
+    m_heartbeatTimer.start(static_cast<int>(interval * (1 + heartbeatJitter * (2 * m_random.unit() - 1))));
+    const duration untilLost = fromSeconds(heartbeatsUntilLost * interval / millisecondsPerSecond);
+    decisions.setPeerLife(std::max(minPeerLoadExpiry, untilLost));
+    nodes.setPeerTimeout(std::max(minPeerTimeout, untilLost));
 }
 
-node_heartbeat peer_talk::heartbeat(bool isWhole, instant now)
+node_heartbeat peer_messenger::heartbeat(bool isFull, instant now)
 {
     auto& decisions = m_parts.decisions;
     const auto self = m_parts.self();
-    return { serving::pulseOf(self), isWhole ? std::optional(self) : std::nullopt, decisions.ownLoad(),
-        decisions.ownJobs(now), m_parts.caches.takeNews(mostCacheNews), decisions.takeHealthNews(now),
-        m_parts.roles.changing() };
+    return { serving::pulseOf(self), isFull ? std::optional(self) : std::nullopt, decisions.ownLoad(),
+        decisions.ownJobs(now), m_parts.caches.takeUpdates(maxCacheUpdatesPerHeartbeat), decisions.takeHealthNews(now),
+        m_parts.roles.changingEngines() };
 }
 
-void peer_talk::tellAll(const std::string& message, serving::told_pace pace)
+void peer_messenger::broadcast(const std::string& message, serving::told_pace pace)
 {
     send(m_relay.tell(message, pace, boot_clock::now()));
 }
 
-void peer_talk::greet(const std::vector<serving::node_state>& nodes, bool isSeeking)
+void peer_messenger::sendProbe(const std::vector<serving::node_state>& nodes, bool expectsReply)
 {
     serving::relay_datagram datagram;
     for (const auto& node : nodes)
         datagram.to.push_back({ node.address, node.peerPort });
-    datagram.load.messages.push_back(encodeDatagram(node_greeting { m_parts.self(), isSeeking }));
-    m_mesh.send(datagram);
+    datagram.load.messages.push_back(encodeDatagram(node_probe { m_parts.self(), expectsReply }));
+    m_peerSocket.send(datagram);
 }
 
-void peer_talk::send(const std::vector<serving::relay_datagram>& datagrams)
+void peer_messenger::send(const std::vector<serving::relay_datagram>& datagrams)
 {
     for (const auto& datagram : datagrams)
-        m_mesh.send(datagram);
+        m_peerSocket.send(datagram);
     const auto wait = m_relay.nextAt() - boot_clock::now();
     m_relayTimer.start(std::max(0ms, std::chrono::ceil<std::chrono::milliseconds>(wait)));
 }
 
-void peer_talk::passOn() { send(m_relay.due(boot_clock::now())); }
+void peer_messenger::sendDue() { send(m_relay.due(boot_clock::now())); }
 
-void peer_talk::planRelays(const serving::node_state& self, const std::vector<serving::node_state>& alive)
+void peer_messenger::planRelays(const serving::node_state& self, const std::vector<serving::node_state>& alive)
 {
     auto seen = static_cast<std::uint64_t>(self.isStopping);
     for (const auto& node : alive)
         seen += stableHash(node.vm) << (node.isStopping ? 1 : 0);
-    // Ranking 300 nodes anew ten times a second would be a tenth of what a node does.
-    if (seen != m_seenInPlan)
+    // Ranking 300 nodes ten times a second would take a tenth of a node's CPU time.
+    if (seen != m_plannedNodesHash)
         m_relay.planned(serving::planRelays(self, alive), boot_clock::now());
-    m_seenInPlan = seen;
+    m_plannedNodesHash = seen;
     send({});
     logRelay();
 }
 
-void peer_talk::logRelay()
+void peer_messenger::logRelay()
 {
-    if (m_relayLogged == m_relay.relay() && m_wasRelay == m_relay.isRelay())
+    if (m_loggedRelay == m_relay.relay() && m_wasLoggedAsRelay == m_relay.isRelay())
         return;
-    m_relayLogged = m_relay.relay();
-    m_wasRelay = m_relay.isRelay();
+    m_loggedRelay = m_relay.relay();
+    m_wasLoggedAsRelay = m_relay.isRelay();
     m_parts.log.write(log_event::relay_changed,
-        { { "relay", m_relay.hasRelay() ? toString(endpoint { m_relayLogged.address, m_relayLogged.port }) : "" },
-            { "passes_on", m_wasRelay } });
+        { { "relay", m_relay.hasRelay() ? toString(endpoint { m_loggedRelay.address, m_loggedRelay.port }) : "" },
+            { "passes_on", m_wasLoggedAsRelay } });
 }
 
-void peer_talk::heardLoad(const serving::node_place& from, const serving::relay_load& load)
+void peer_messenger::onPayload(const serving::node_place& from, const serving::relay_load& load)
 {
     m_relay.heard(from, load, boot_clock::now());
     for (const auto& message : load.messages) {
         if (const auto decoded = decodeDatagram(message))
-            heard(*decoded);
+            onMessage(*decoded);
         else
             ++m_undecodable;
     }
     send({});
 }
 
-void peer_talk::jobsSent()
+void peer_messenger::scheduleJobAnnouncement()
 {
-    if (!m_noteTimer.isActive())
-        m_noteTimer.start(m_relay.hasRelay() ? relayedNotePause : notePause);
+    if (!m_jobTimer.isActive())
+        m_jobTimer.start(m_relay.hasRelay() ? relayedJobBatchDelay : jobBatchDelay);
 }
 
-// What goes wrong without it: until the next heartbeat all nodes take the same engine for the one with the least work,
-// and send it their prompts.
-void peer_talk::tellJobs()
+// Without this announcement all nodes would consider the same engine the least loaded until the next heartbeat and send
+// it their prompts.
+void peer_messenger::broadcastNewJobs()
 {
     const auto now = boot_clock::now();
     auto jobs = m_parts.decisions.takeNewJobs(now);
     if (!jobs.empty())
-        tellAll(encodeDatagram(job_note { m_ownHash, std::move(jobs) }), serving::told_pace::atOnce);
+        broadcast(encodeDatagram(job_announcement { m_ownHash, std::move(jobs) }), serving::told_pace::atOnce);
 }
 
-void peer_talk::tellTargets(serving::target_note note)
+void peer_messenger::broadcastTargetChanges(serving::target_note note)
 {
-    for (auto& part : splitNote(std::move(note)))
-        tellAll(encodeDatagram(std::move(part)), serving::told_pace::atOnce);
+    for (auto& part : splitTargetNote(std::move(note)))
+        broadcast(encodeDatagram(std::move(part)), serving::told_pace::atOnce);
 }
 
-void peer_talk::tellReadProgress()
+void peer_messenger::broadcastReadProgress()
 {
     auto note = m_parts.view.readProgress();
     note.node = m_ownHash;
     note.startedAt = m_startedAt;
     note.sentAt = boot_clock::now().time_since_epoch().count();
-    tellAll(encodeDatagram(note), serving::told_pace::atOnce);
+    broadcast(encodeDatagram(note), serving::told_pace::atOnce);
 }
 
-void peer_talk::tellCaches(std::vector<cache_news> caches)
+void peer_messenger::broadcastCacheUpdates(std::vector<cache_update> caches)
 {
-    for (auto& part : splitCaches(std::move(caches)))
-        tellAll(encodeDatagram(std::move(part)), serving::told_pace::soon);
+    for (auto& part : splitCacheUpdates(std::move(caches)))
+        broadcast(encodeDatagram(std::move(part)), serving::told_pace::soon);
 }
 
-// A relay tells all its nodes the same, so what a node has told itself comes back to it.
-void peer_talk::heard(const peer_datagram& message)
+// A relay sends the same messages to all its nodes, so a node receives its own messages as well.
+void peer_messenger::onMessage(const peer_datagram& message)
 {
     if (const auto* heartbeat = std::get_if<node_heartbeat>(&message))
-        heardBeat(*heartbeat);
-    else if (const auto* jobs = std::get_if<job_note>(&message))
-        heardJobs(*jobs);
+        onHeartbeat(*heartbeat);
+    else if (const auto* jobs = std::get_if<job_announcement>(&message))
+        onJobs(*jobs);
     else if (const auto* targets = std::get_if<serving::target_note>(&message))
-        m_parts.view.targetsTold(*targets);
-    else if (const auto* caches = std::get_if<cache_note>(&message))
-        m_parts.caches.told(caches->caches);
-    else if (const auto* read = std::get_if<read_note>(&message))
-        heardRead(*read);
+        m_parts.view.applyTargetNote(*targets);
+    else if (const auto* caches = std::get_if<cache_update_batch>(&message))
+        m_parts.caches.applyPeerUpdates(caches->caches);
+    else if (const auto* read = std::get_if<read_progress>(&message))
+        onReadProgress(*read);
     else
-        heardGreeting(std::get<node_greeting>(message));
+        onProbe(std::get<node_probe>(message));
 }
 
-void peer_talk::heardJobs(const job_note& message)
+void peer_messenger::onJobs(const job_announcement& message)
 {
     if (message.node != m_ownHash)
         m_parts.decisions.peerSent(message.node, message.jobs, false, boot_clock::now());
 }
 
-void peer_talk::heardRead(const read_note& message)
+void peer_messenger::onReadProgress(const read_progress& message)
 {
     if (message.node == m_ownHash)
         return;
@@ -209,66 +210,67 @@
         sender = { message.startedAt, {} };
     const auto at = [](std::int64_t count) { return instant(duration(count)); };
     sender.clock.observed(at(message.sentAt), boot_clock::now());
-    m_parts.view.peerReadStore(
+    m_parts.view.onPeerReadProgress(
         message, sender.clock.toLocal(at(message.configurationAt)), sender.clock.toLocal(at(message.targetsAt)));
 }
 
-// What goes wrong without the answer: a node that has just started knows no relay, and hears nobody.
-void peer_talk::heardGreeting(const node_greeting& message)
+// The reply is necessary because a node that has just started knows no relay and would receive nothing.
+void peer_messenger::onProbe(const node_probe& message)
 {
     const auto now = boot_clock::now();
     if (m_parts.nodes.heard(message.sender, now))
-        reached(message.sender);
-    stateHeard(message.sender);
-    if (message.isSeeking && m_relay.isRelay())
-        greet({ message.sender }, false);
+        onPeerReachable(message.sender);
+    onPeerState(message.sender);
+    if (message.expectsReply && m_relay.isRelay())
+        sendProbe({ message.sender }, false);
 }
 
-serving::felt_node peer_talk::senderOf(const node_heartbeat& message, instant now)
+serving::felt_node peer_messenger::updateSender(const node_heartbeat& message, instant now)
 {
-    const bool wasAway = message.whole && m_parts.nodes.heard(*message.whole, now);
-    auto felt = m_parts.nodes.felt(message.pulse, now);
-    felt.wasAway |= wasAway;
-    return felt;
+    const bool wasAway = message.fullState && m_parts.nodes.heard(*message.fullState, now);
+    auto status = m_parts.nodes.felt(message.pulse, now);
+    status.wasAway |= wasAway;
+    return status;
 }
 
-void peer_talk::reached(const serving::node_state& peer)
+void peer_messenger::onPeerReachable(const serving::node_state& peer)
 {
-    // It may not know where this node is, if the store is away.
-    m_wholeBeats = std::max(m_wholeBeats, 1);
-    m_reached.add(peer.vm);
+    // The peer may not know this node's address if the store is unreachable.
+    m_fullHeartbeatsLeft = std::max(m_fullHeartbeatsLeft, 1);
+    m_reachablePeers.add(peer.vm);
 }
 
-void peer_talk::logReached()
+void peer_messenger::logReachablePeers()
 {
-    if (m_reached.count() > 0)
-        m_parts.log.write(log_event::peers_reached, { { "count", m_reached.count() }, { "peers", m_reached.text() } });
-    m_reached = {};
+    if (m_reachablePeers.count() > 0)
+        m_parts.log.write(
+            log_event::peers_reached, { { "count", m_reachablePeers.count() }, { "peers", m_reachablePeers.text() } });
+    m_reachablePeers = {};
 }
 
-void peer_talk::stateHeard(const serving::node_state& peer)
+void peer_messenger::onPeerState(const serving::node_state& peer)
 {
-    m_parts.view.versionSeen(peer.configurationVersion);
-    m_parts.view.targetChangeSeen(peer.lastTargetChange);
+    m_parts.view.onPeerVersion(peer.configurationVersion);
+    m_parts.view.onPeerTargetChange(peer.lastTargetChange);
 }
 
-void peer_talk::heardBeat(const node_heartbeat& message)
+void peer_messenger::onHeartbeat(const node_heartbeat& message)
 {
     if (message.pulse.node == m_ownHash)
         return;
     const auto now = boot_clock::now();
-    const auto felt = senderOf(message, now);
-    if (!felt.state)
-        return; // it tells all of itself in one of the next heartbeats
-    const auto sender = *felt.state;
-    if (felt.wasAway)
-        reached(sender);
-    stateHeard(sender);
+    const auto status = updateSender(message, now);
+    if (!status.state)
+        return; // unknown sender; one of its next heartbeats carries its full state
+    const auto sender = *status.state;
+    if (status.wasAway)
+        onPeerReachable(sender);
+    onPeerState(sender);
     m_parts.decisions.peerTold(sender.vm, message.load, now);
     m_parts.decisions.peerSent(message.pulse.node, message.jobs, true, now);
-    m_parts.caches.told(message.caches);
+    m_parts.caches.applyPeerUpdates(message.caches);
     m_parts.decisions.peerSaw(message.health, now);
-    m_parts.roles.told(message.changing, now);
+    m_parts.roles.markPeerChanges(message.changingEngines, now);
 }
 
 }
--- a/libs/gateway/src/peer_talk.h
+++ b/libs/gateway/src/peer_talk.h
@@ -1,4 +1,4 @@
-// What nodes tell each other while they run: heartbeats, prompts just sent, changes of the target list.
+// Exchanges messages with peer nodes: heartbeats, announcements of prompts just sent, changes of the target list.
 #pragma once
 
 #include "cache_watch.h"
@@ -18,81 +18,82 @@
 
 namespace tamarack {
 
-/// Tells at a pace that the number of nodes allows; takes what peers tell into the decisions and the view.
-class peer_talk {
+/// Sends messages at a rate that depends on the number of nodes, and applies received messages to the dispatcher and
+/// the cluster view.
+class peer_messenger {
 public:
     struct dependencies {
         serving::dispatcher& decisions;
         serving::node_directory& nodes;
-        shared_view& view;
-        cache_watch& caches;
-        role_orders& roles;
+        cluster_view& view;
+        cache_monitor& caches;
+        role_coordinator& roles;
         const logger& log;
         std::function<serving::node_state()> self;
     };
 
-    explicit peer_talk(dependencies parts);
+    explicit peer_messenger(dependencies parts);
 
-    /// False if the port is taken.
+    /// Returns false if the port is in use.
     bool listen(const endpoint& address);
-    /// A heartbeat to all, now and from then on.
-    void beat();
-    /// Prompts have gone to engines: peers are told in a moment.
-    void jobsSent();
-    void tellTargets(serving::target_note note);
-    /// Tells all peers up to which instant this node has read the store.
-    void tellReadProgress();
-    /// What engines keep that were asked for all of it.
-    void tellCaches(std::vector<cache_news> caches);
-    /// Finds out who passes on what is told; now and then.
+    /// Sends a heartbeat to all peers now and schedules the next one.
+    void sendHeartbeat();
+    /// Schedules an announcement of the prompts that were just sent to engines.
+    void scheduleJobAnnouncement();
+    void broadcastTargetChanges(serving::target_note note);
+    /// Sends all peers the instants up to which this node has read the store.
+    void broadcastReadProgress();
+    /// Sends the updates found by a full cache listing.
+    void broadcastCacheUpdates(std::vector<cache_update> caches);
+    /// Chooses the nodes that relay messages. Called periodically.
     void planRelays(const serving::node_state& self, const std::vector<serving::node_state>& alive);
-    const datagram_counts& counts() const { return m_mesh.counts(); }
-    /// Datagrams, and messages in them, that could not be read.
-    std::uint64_t undecodable() const { return m_mesh.counts().undecodable + m_undecodable; }
+    const datagram_counts& counts() const { return m_peerSocket.counts(); }
+    /// Number of datagrams, and of messages within datagrams, that could not be decoded.
+    std::uint64_t undecodable() const { return m_peerSocket.counts().undecodable + m_undecodable; }
 
 private:
-    struct peer_process {
+    struct remote_process {
         std::int64_t startedAt = 0;
         serving::peer_clock clock;
     };
 
-    void heardLoad(const serving::node_place& from, const serving::relay_load& load);
-    void heard(const peer_datagram& message);
-    void heardBeat(const node_heartbeat& message);
-    void heardGreeting(const node_greeting& message);
-    void heardJobs(const job_note& message);
-    void heardRead(const read_note& message);
-    /// A peer has been heard that was away.
-    void reached(const serving::node_state& peer);
+    void onPayload(const serving::node_place& from, const serving::relay_load& load);
+    void onMessage(const peer_datagram& message);
+    void onHeartbeat(const node_heartbeat& message);
+    void onProbe(const node_probe& message);
+    void onJobs(const job_announcement& message);
+    void onReadProgress(const read_progress& message);
+    /// A peer that counted as lost is reachable again.
+    void onPeerReachable(const serving::node_state& peer);
     void logRelay();
-    /// One line for all that were reached since the last heartbeat.
-    void logReached();
-    /// What follows from a peer's state.
-    void stateHeard(const serving::node_state& peer);
-    void tellAll(const std::string& message, serving::told_pace pace);
-    node_heartbeat heartbeat(bool isWhole, instant now);
-    void greet(const std::vector<serving::node_state>& nodes, bool isSeeking);
-    void passOn();
+    /// Writes one log line for all peers that became reachable since the last heartbeat.
+    void logReachablePeers();
+    /// Applies a peer's state to the cluster view.
+    void onPeerState(const serving::node_state& peer);
+    void broadcast(const std::string& message, serving::told_pace pace);
+    node_heartbeat heartbeat(bool isFull, instant now);
+    void sendProbe(const std::vector<serving::node_state>& nodes, bool expectsReply);
+    void sendDue();
     void send(const std::vector<serving::relay_datagram>& datagrams);
-    serving::felt_node senderOf(const node_heartbeat& message, instant now);
-    void tellJobs();
+    serving::felt_node updateSender(const node_heartbeat& message, instant now);
+    void broadcastNewJobs();
 
     dependencies m_parts;
-    peer_mesh m_mesh;
+    peer_socket m_peerSocket;
     serving::message_relay m_relay;
     QTimer m_relayTimer;
-    QTimer m_beatTimer;
-    QTimer m_noteTimer;
-    int m_wholeBeats = 3; // left in which the whole state is told
-    int m_beats = 0;
+    QTimer m_heartbeatTimer;
+    QTimer m_jobTimer;
+    int m_fullHeartbeatsLeft = 3; // remaining heartbeats that carry the full state
+    int m_heartbeatCount = 0;
     random_source m_random;
     std::uint32_t m_ownHash;
     std::int64_t m_startedAt = boot_clock::now().time_since_epoch().count();
-    std::unordered_map<std::uint32_t, peer_process> m_peerProcesses; // by shortHash() of the VM
-    name_sample m_reached;
-    serving::node_place m_relayLogged;
-    bool m_wasRelay = true;
-    std::uint64_t m_seenInPlan = 0; // the nodes that the plan was made of
+    std::unordered_map<std::uint32_t, remote_process> m_peerProcesses; // keyed by shortHash() of the VM
+    name_sample m_reachablePeers;
+    serving::node_place m_loggedRelay;
+    bool m_wasLoggedAsRelay = true;
+    std::uint64_t m_plannedNodesHash = 0; // hash of the nodes for which the relays were planned
     std::uint64_t m_undecodable = 0;
 };
 
--- a/libs/gateway/src/record_feed.cpp
+++ b/libs/gateway/src/record_feed.cpp
@@ -1,4 +1,4 @@
-// One call after the other.
+// Implements the reads and retries of record_feed.
 #include "record_feed.h"
 
 #include <algorithm>
@@ -10,10 +10,10 @@
 
     using namespace std::chrono_literals;
 
-    /// For the next bytes of a page. The store answers within 4 ms, and within a quarter of a second when it is slow.
-    constexpr duration usualPatience = 700ms;
-    /// 300 nodes that read 3,000 targets at once have the store's 80 MB a second busy for 4.3 s.
-    constexpr duration longestPatience = 6s;
+    /// Idle timeout for a page. The store responds within 4 ms, and within a quarter of a second when it is slow.
+    constexpr duration defaultPageTimeout = 700ms;
+    /// When 300 nodes read 3,000 targets at once, the store's 80 MB/s are saturated for 4.3 s.
+    constexpr duration maxPageTimeout = 6s;
 
 }
 
@@ -34,19 +34,22 @@
     : m_store(store)
     , m_options(options)
     , m_on(std::move(on))
-    , m_retries(options.retryPause, options.longestRetryPause)
-    , m_patience(usualPatience)
+    , m_retries(options.retryPause, options.maxRetryPause)
+    , m_pageTimeout(defaultPageTimeout)
 {
     m_timer.setSingleShot(true);
-    QObject::connect(&m_timer, &QTimer::timeout, [this] { readOn(m_options.wait); });
+    QObject::connect(&m_timer, &QTimer::timeout, [this] { readNext(m_options.wait); });
 }
 
-void record_feed::again(duration pause) { m_timer.start(std::chrono::duration_cast<std::chrono::milliseconds>(pause)); }
+void record_feed::scheduleRead(duration pause)
+{
+    m_timer.start(std::chrono::duration_cast<std::chrono::milliseconds>(pause));
+}
 
 void record_feed::startAfter(duration wait)
 {
     if (m_call == 0)
-        again(wait);
+        scheduleRead(wait);
 }
 
 void record_feed::stop()
@@ -56,140 +59,143 @@
     m_timer.stop();
 }
 
-// What goes wrong without looking at the outstanding call: a large configuration takes a second over a narrow link,
-// each peer that names it has it asked for again, and no answer is waited for to its end.
-void record_feed::hurry()
+// A read in progress is not abandoned: a large configuration takes a second over a narrow link, and if each peer that
+// announces it restarted the read, no response would ever be received completely.
+void record_feed::readNow()
 {
     if (m_isStopped)
         return;
-    if (m_isAnswerDue) {
-        m_isHurried = true;
+    if (m_isReadInProgress) {
+        m_mustReadAgain = true;
         return;
     }
     m_timer.stop();
-    readOn(duration::zero());
+    readNext(duration::zero());
 }
 
 void record_feed::skipTo(std::int64_t next)
 {
-    if (m_next < 0 && !m_isAnswerDue)
+    if (m_next < 0 && !m_isReadInProgress)
         m_next = next;
 }
 
 void record_feed::deferRetry(duration pause)
 {
-    if (m_reach != serving::store_reach::lost || m_isAnswerDue || m_isStopped || m_isRetryDeferred)
+    if (m_reach != serving::store_reach::lost || m_isReadInProgress || m_isStopped || m_isRetryDeferred)
         return;
     m_isRetryDeferred = true;
-    again(pause);
+    scheduleRead(pause);
 }
 
-void record_feed::readOn(duration wait)
+void record_feed::readNext(duration wait)
 {
     if (m_next < 0)
         return readNewest();
     const auto call = ++m_call;
-    m_askedAt = boot_clock::now();
-    m_askedWait = wait;
-    m_isAnswerDue = wait == duration::zero();
+    m_requestedAt = boot_clock::now();
+    m_requestedWait = wait;
+    m_isReadInProgress = wait == duration::zero();
     m_store.read(m_options.topic, m_next, wait, [this, call](store_result<record_page> result) {
         if (call == m_call)
             onPage(result);
     });
 }
 
-void record_feed::startOver()
+void record_feed::restart()
 {
     m_next = -1;
     m_snapshot.clear();
-    m_snapshotTo.clear();
+    m_snapshotLastKey.clear();
     m_snapshotEnd = -1;
-    m_patience = usualPatience;
+    m_pageTimeout = defaultPageTimeout;
 }
 
 void record_feed::readNewest()
 {
     const auto call = ++m_call;
-    m_askedAt = boot_clock::now();
+    m_requestedAt = boot_clock::now();
     if (m_snapshotEnd < 0)
-        m_snapshotAskedAt = m_askedAt;
-    m_isAnswerDue = true;
-    m_store.newest(m_options.topic, m_snapshotTo, m_patience, [this, call](store_result<newest_page> result) {
+        m_snapshotRequestedAt = m_requestedAt;
+    m_isReadInProgress = true;
+    m_store.newest(m_options.topic, m_snapshotLastKey, m_pageTimeout, [this, call](store_result<newest_page> result) {
         if (call == m_call)
             onNewest(result);
     });
 }
 
-// What goes wrong otherwise: 300 nodes that start at once before 3,000 targets wait for a page for longer than for one
-// that never comes; each gives up and begins with the first page again, and the store is busy with answers that
-// nobody waits for. So a page that failed is asked for again by itself, and waited for twice as long.
+// A failed page is requested again by itself, with twice the timeout. When 300 nodes start at once with 3,000 targets,
+// a page takes longer than the default timeout; if each node then restarted with the first page, the store would be
+// saturated with responses that no node waits for.
 void record_feed::onNewest(const store_result<newest_page>& result)
 {
-    m_isAnswerDue = false;
+    m_isReadInProgress = false;
     if (const auto* error = std::get_if<store_error>(&result)) {
-        m_patience = std::min(2 * m_patience, longestPatience);
-        return failed(*error);
+        m_pageTimeout = std::min(2 * m_pageTimeout, maxPageTimeout);
+        return onFailure(*error);
     }
     const auto& page = std::get<newest_page>(result);
-    reached();
-    // Pages are no snapshot: reading goes on from the end that the first one told, and what was in a later page comes
-    // once more.
+    onSuccess();
+    // The pages are not an atomic snapshot: reading continues from the end that the first page reported, so records
+    // from later pages may be delivered again.
     if (m_snapshotEnd < 0)
         m_snapshotEnd = page.end;
     m_snapshot.insert(m_snapshot.end(), page.records.begin(), page.records.end());
     if (page.hasMore && !page.records.empty()) {
-        m_snapshotTo = page.records.back().key;
+        m_snapshotLastKey = page.records.back().key;
         return readNewest();
     }
     const auto snapshot = std::move(m_snapshot);
     const auto end = m_snapshotEnd;
-    startOver();
+    restart();
     m_next = end;
-    m_freshAt = m_snapshotAskedAt;
+    m_freshAt = m_snapshotRequestedAt;
     m_on.onSnapshot(snapshot);
     m_on.onComplete();
-    pause();
+    scheduleNextRead();
 }
 
-void record_feed::pause() { again(std::exchange(m_isHurried, false) ? duration::zero() : m_options.pause); }
+void record_feed::scheduleNextRead()
+{
+    scheduleRead(std::exchange(m_mustReadAgain, false) ? duration::zero() : m_options.pause);
+}
 
 void record_feed::onPage(const store_result<record_page>& result)
 {
-    m_isAnswerDue = false;
+    m_isReadInProgress = false;
     if (const auto* error = std::get_if<store_error>(&result)) {
         if (*error == store_error::expired)
-            startOver(); // the records between are lost; the newest of each key say all that still matters
-        return failed(*error);
+            restart(); // the missed records are lost, but the newest record of each key contains all that still matters
+        return onFailure(*error);
     }
     const auto& page = std::get<record_page>(result);
-    reached();
+    onSuccess();
     m_next = std::max(m_next, page.next);
     if (!page.records.empty())
         m_on.onRecords(page.records);
     if (page.next < page.end)
-        return again(duration::zero());
+        return scheduleRead(duration::zero());
     // An empty answer to a waiting read means that nothing was written before the wait expired.
-    m_freshAt = page.records.empty() ? std::min(m_askedAt + m_askedWait, boot_clock::now()) : m_askedAt;
+    m_freshAt = page.records.empty() ? std::min(m_requestedAt + m_requestedWait, boot_clock::now()) : m_requestedAt;
     m_on.onComplete();
-    pause();
+    scheduleNextRead();
 }
 
-void record_feed::failed(store_error error)
+void record_feed::onFailure(store_error error)
 {
     if (error == store_error::expired)
-        return again(duration::zero());
+        return scheduleRead(duration::zero());
     m_reachUpdatedAt = boot_clock::now();
     m_isRetryDeferred = false;
     if (m_reach != serving::store_reach::lost) {
         m_reach = serving::store_reach::lost;
         m_on.onReach(false, toString(error));
     }
-    again(m_retries.afterFailure());
+    scheduleRead(m_retries.afterFailure());
 }
 
-void record_feed::reached()
+void record_feed::onSuccess()
 {
-    m_reachedAt = m_reachUpdatedAt = boot_clock::now();
+    m_lastSuccessAt = m_reachUpdatedAt = boot_clock::now();
     m_retries.succeeded();
     if (m_reach == serving::store_reach::reached)
         return;
--- a/libs/gateway/src/registration.cpp
+++ b/libs/gateway/src/registration.cpp
@@ -1,14 +1,15 @@
-// One record; where it stands in the store is the incarnation.
+// Appends one record; its offset determines the incarnation.
 #include "registration.h"
 
 namespace tamarack {
 
 namespace {
 
-    /// After a failed append. A lost answer may leave two records of this life: the later one counts.
-    constexpr std::chrono::milliseconds firstPause { 700 };
-    /// Peers hear of the node by its heartbeats meanwhile, and callers by theirs.
-    constexpr std::chrono::milliseconds longestPause { 5000 };
+    /// Pause after a failed append. A lost response may leave two records of the same process, of which the later one
+    /// counts.
+    constexpr std::chrono::milliseconds initialRetryPause { 700 };
+    /// Peers learn of the node from its heartbeats meanwhile, and callers learn of it from its peers.
+    constexpr std::chrono::milliseconds maxRetryPause { 5000 };
 
 }
 
@@ -17,7 +18,7 @@
     , m_self(std::move(self))
     , m_log(log)
     , m_onRegistered(std::move(onRegistered))
-    , m_retries(firstPause, longestPause)
+    , m_retries(initialRetryPause, maxRetryPause)
 {
     m_timer.setSingleShot(true);
     QObject::connect(&m_timer, &QTimer::timeout, [this] { start(); });
@@ -27,10 +28,10 @@
 {
     const auto self = m_self();
     m_store.append(store_topic::nodes, self.vm, encodeNode(self),
-        [this](const store_result<std::int64_t>& result) { answered(result); });
+        [this](const store_result<std::int64_t>& result) { onResponse(result); });
 }
 
-void registration::answered(const store_result<std::int64_t>& result)
+void registration::onResponse(const store_result<std::int64_t>& result)
 {
     if (const auto* error = std::get_if<store_error>(&result)) {
         m_log.write(log_event::registration_failed, { { "reason", toString(*error) } });
--- a/libs/gateway/src/registration.h
+++ b/libs/gateway/src/registration.h
@@ -1,4 +1,4 @@
-// Registers this node in the store, so that nodes that start later know whom to tell of themselves.
+// Registers this node in the store, so that nodes that start later know whom to contact.
 #pragma once
 
 #include "node_messages.h"
@@ -17,16 +17,16 @@
 public:
     using self_source = std::function<serving::node_state()>;
 
-    /// `onRegistered` is called once; from then on incarnation() is known.
+    /// `onRegistered` is called once; incarnation() is set from then on.
     registration(keyed_log& store, self_source self, const logger& log, std::function<void()> onRegistered);
 
     void start();
-    /// Rises with each life of the node; 0 until the store has given one. It comes from the store, since a VM's time of
-    /// day may be set back.
+    /// Increases with each start of the node; 0 until the store has assigned it. It comes from the store because the
+    /// wall clock of a VM may be set back.
     std::uint64_t incarnation() const { return m_incarnation; }
 
 private:
-    void answered(const store_result<std::int64_t>& result);
+    void onResponse(const store_result<std::int64_t>& result);
 
     keyed_log& m_store;
     self_source m_self;
--- a/libs/gateway/src/role_orders.cpp
+++ b/libs/gateway/src/role_orders.cpp
@@ -1,4 +1,4 @@
-// The steps of a change of role.
+// Implements the steps of a role change.
 #include "role_orders.h"
 
 #include "base/hash.h"
@@ -12,29 +12,29 @@
     using namespace std::chrono_literals;
     using serving::target_role;
 
-    /// Until every peer has been told and what it had sent before has arrived: a datagram takes some 3 ms, a request
-    /// that is written over a narrow link some 20 ms.
-    constexpr duration tellTime = 150ms;
-    /// Of a call to an engine, from its start to its answer. The connection is reset after that, so nothing of it
-    /// arrives later.
-    constexpr duration callLimit = 400ms;
-    /// Peers leave an engine alone for so long after a heartbeat that names it: two heartbeats of a large fleet may be
-    /// lost.
-    constexpr duration toldLife = 2s;
-    /// The split is looked at this often; what is found has to last for 1.5 s anyway.
-    constexpr duration lookPause = 250ms;
-    /// Then an engine that was ordered is used again whatever its role in the list.
-    constexpr duration longestChange = 8s;
+    /// Time until every peer is notified and the requests that it sent before have arrived: a datagram takes some 3 ms,
+    /// a request written over a narrow link some 20 ms.
+    constexpr duration notificationTime = 150ms;
+    /// Time limit of a call to an engine, from connect to response. The connection is reset afterwards, so nothing of
+    /// the call arrives later.
+    constexpr duration callTimeout = 400ms;
+    /// Peers send no requests to an engine for this long after a heartbeat that names it, which tolerates the loss of
+    /// two heartbeats in a large fleet.
+    constexpr duration exclusionTime = 2s;
+    /// Interval at which the role split is evaluated; a deviation has to last for 1.5 s anyway.
+    constexpr duration checkInterval = 250ms;
+    /// After this time the engine is used again, whatever its role in the target list.
+    constexpr duration changeTimeout = 8s;
 
-    constexpr std::string_view duty = "roles";
+    constexpr std::string_view dutyKey = "roles";
 
     std::string_view roleName(target_role role) { return role == target_role::prefill ? "prefill" : "decode"; }
 
     exchange_options callOptions()
     {
         exchange_options options;
-        options.connectTimeout = callLimit / 2;
-        options.silenceTimeout = callLimit / 2;
+        options.connectTimeout = callTimeout / 2;
+        options.silenceTimeout = callTimeout / 2;
         options.freshConnection = true;
         options.keepConnection = false;
         return options;
@@ -42,7 +42,7 @@
 
 }
 
-role_orders::role_orders(dependencies parts, std::string vm, serving::order_lease_settings settings)
+role_coordinator::role_coordinator(dependencies parts, std::string vm, serving::order_lease_settings settings)
     : m_parts(std::move(parts))
     , m_vm(std::move(vm))
     , m_lease(settings)
@@ -50,44 +50,45 @@
 {
 }
 
-// Any node will do that reaches the store; two that both think so are kept apart by the lease.
-bool role_orders::isOnDuty(const serving::node_state& self, const std::vector<serving::node_state>& alive)
+// Any ready node that reaches the store is suitable. The lease excludes two nodes that both consider themselves the
+// coordinator.
+bool role_coordinator::isCoordinator(const serving::node_state& self, const std::vector<serving::node_state>& alive)
 {
     if (!self.isReady || self.storeReach != serving::store_reach::reached)
         return false;
-    const auto own = rendezvousWeight(self.vm, duty);
+    const auto own = rendezvousWeight(self.vm, dutyKey);
     return std::none_of(alive.begin(), alive.end(), [own](const auto& node) {
         const bool isAble = node.isReady && node.storeReach == serving::store_reach::reached && !node.isStopping;
-        return isAble && rendezvousWeight(node.vm, duty) > own;
+        return isAble && rendezvousWeight(node.vm, dutyKey) > own;
     });
 }
 
-void role_orders::tick(const serving::node_state& self, const std::vector<serving::node_state>& alive, instant now)
+void role_coordinator::tick(const serving::node_state& self, const std::vector<serving::node_state>& alive, instant now)
 {
-    proceed(now);
-    markAll(now);
-    if (now < m_lookAt || !isOnDuty(self, alive))
+    advanceChanges(now);
+    markChangingEngines(now);
+    if (now < m_nextCheckAt || !isCoordinator(self, alive))
         return;
-    m_lookAt = now + lookPause;
+    m_nextCheckAt = now + checkInterval;
     const auto changes = m_split.due(now, m_parts.decisions.readWait());
     if (changes.empty())
         return;
-    if (m_lease.holdsFor(tellTime + 2 * callLimit, now))
-        return begin(changes, now);
+    if (m_lease.holdsFor(notificationTime + 2 * callTimeout, now))
+        return beginChanges(changes, now);
     claim(now);
 }
 
-void role_orders::claim(instant now)
+void role_coordinator::claim(instant now)
 {
     const auto at = m_lease.claimAt(now);
     if (!at)
         return;
     m_lease.claimSent(now);
     m_parts.store.appendAt(
-        store_topic::orders, *at, m_vm, [this](const store_result<placed_append>& result) { claimAnswered(result); });
+        store_topic::orders, *at, m_vm, [this](const store_result<placed_append>& result) { onClaimResponse(result); });
 }
 
-void role_orders::claimAnswered(const store_result<placed_append>& result)
+void role_coordinator::onClaimResponse(const store_result<placed_append>& result)
 {
     const auto now = boot_clock::now();
     if (const auto* error = std::get_if<store_error>(&result)) {
@@ -104,7 +105,7 @@
         { { "lease", "roles" }, { "holder", placed.isAppended ? m_vm : std::string() }, { "term", placed.offset } });
 }
 
-void role_orders::begin(const std::vector<serving::role_change>& changes, instant now)
+void role_coordinator::beginChanges(const std::vector<serving::role_change>& changes, instant now)
 {
     const auto& view = m_split.view();
     m_parts.log.write(log_event::roles_due,
@@ -113,31 +114,30 @@
     for (const auto& change : changes) {
         m_split.ordered(change.engine, change.role, now);
         m_changes.push_back(
-            { m_parts.decisions.fleet().instance[change.engine.value], change.role, change_step::told, now });
+            { m_parts.decisions.fleet().instance[change.engine.value], change.role, change_step::announced, now });
     }
-    markAll(now);
-    m_parts.tellPeers();
+    markChangingEngines(now);
+    m_parts.notifyPeers();
 }
 
-// What goes wrong without it: the engine refuses what comes for its former role, and a request that may be sent only
-// once is lost by that.
-void role_orders::markAll(instant now)
+// Otherwise the engine would reject requests for its former role, and a non-idempotent request would be lost.
+void role_coordinator::markChangingEngines(instant now)
 {
     for (const auto& change : m_changes) {
         if (const auto row = m_parts.decisions.fleet().find(change.instance); row.isValid())
-            m_parts.decisions.roleChanging(row, now + toldLife);
+            m_parts.decisions.roleChanging(row, now + exclusionTime);
     }
 }
 
-void role_orders::told(const std::vector<std::uint32_t>& engines, instant now)
+void role_coordinator::markPeerChanges(const std::vector<std::uint32_t>& engines, instant now)
 {
     for (const auto hash : engines) {
         if (const auto row = m_parts.decisions.fleet().findHash(hash); row.isValid())
-            m_parts.decisions.roleChanging(row, now + toldLife);
+            m_parts.decisions.roleChanging(row, now + exclusionTime);
     }
 }
 
-std::vector<std::uint32_t> role_orders::changing() const
+std::vector<std::uint32_t> role_coordinator::changingEngines() const
 {
     std::vector<std::uint32_t> out;
     for (const auto& change : m_changes)
@@ -145,29 +145,29 @@
     return out;
 }
 
-bool role_orders::isOver(const role_change_under_way& change, instant now) const
+bool role_coordinator::isFinished(const pending_role_change& change, instant now) const
 {
     const auto& fleet = m_parts.decisions.fleet();
     const auto row = fleet.find(change.instance);
     const bool isThere = row.isValid() && fleet.isListed[row.value];
-    return !isThere || fleet.role[row.value] == change.role || now >= change.since + longestChange;
+    return !isThere || fleet.role[row.value] == change.role || now >= change.since + changeTimeout;
 }
 
-void role_orders::proceed(instant now)
+void role_coordinator::advanceChanges(instant now)
 {
-    std::erase_if(m_changes, [&](const auto& change) { return isOver(change, now); });
-    std::vector<std::string> toAsk;
+    std::erase_if(m_changes, [&](const auto& change) { return isFinished(change, now); });
+    std::vector<std::string> toQuery;
     for (auto& change : m_changes) {
-        if (change.step != change_step::told || now < change.since + tellTime)
+        if (change.step != change_step::announced || now < change.since + notificationTime)
             continue;
-        change.step = change_step::asked;
-        toAsk.push_back(change.instance);
+        change.step = change_step::queried;
+        toQuery.push_back(change.instance);
     }
-    for (const auto& instance : toAsk)
-        ask(instance);
+    for (const auto& instance : toQuery)
+        requestReport(instance);
 }
 
-bool role_orders::isLife(target_id engine, std::uint64_t bornAt) const
+bool role_coordinator::isSameProcess(target_id engine, std::uint64_t bornAt) const
 {
     const auto& fleet = m_parts.decisions.fleet();
     const auto& name = fleet.name[engine.value];
@@ -175,23 +175,23 @@
     return bornAt == 0 || instance == name || instance == serving::instanceName(name, bornAt);
 }
 
-role_orders::role_change_under_way* role_orders::find(const std::string& instance)
+role_coordinator::pending_role_change* role_coordinator::find(const std::string& instance)
 {
     const auto found = std::find_if(
         m_changes.begin(), m_changes.end(), [&](const auto& change) { return change.instance == instance; });
     return found == m_changes.end() ? nullptr : &*found;
 }
 
-void role_orders::ask(const std::string& instance)
+void role_coordinator::requestReport(const std::string& instance)
 {
     const auto& fleet = m_parts.decisions.fleet();
     const auto row = fleet.find(instance);
     const auto& address = fleet.address[row.value];
     m_parts.client.fetch(parseEndpoint(address), m_parts.protocol.roleReport(fleet.name[row.value]), callOptions(),
-        [this, instance](const http_response* response, const exchange_failure&) { reported(instance, response); });
+        [this, instance](const http_response* response, const exchange_failure&) { onReport(instance, response); });
 }
 
-void role_orders::reported(const std::string& instance, const http_response* response)
+void role_coordinator::onReport(const std::string& instance, const http_response* response)
 {
     const auto now = boot_clock::now();
     auto* change = find(instance);
@@ -200,19 +200,20 @@
     const auto report
         = response && response->status == 200 ? m_parts.protocol.decodeRoleReport(response->body) : std::nullopt;
     if (!report || report->isChanging || report->role == change->role)
-        return giveUp(instance, report ? "the engine changes already" : "no report");
-    // What goes wrong without it: the right number of orders is asked of one life of the engine, and the order goes to
-    // the next one, for which it was not meant.
+        return abortChange(
+            instance, report ? "a role change is already in progress, or not needed" : "no valid role report");
+    // The number of orders was queried from one process of the engine. The order must not go to a restarted one, for
+    // which it was not intended.
     const auto row = m_parts.decisions.fleet().find(instance);
-    if (!row.isValid() || !isLife(row, report->bornAt))
-        return giveUp(instance, "the engine has started again");
-    // A claim covers some seconds; a node that was frozen since has lost its right.
-    if (!m_lease.holdsFor(callLimit, now))
-        return giveUp(instance, "the lease is over");
-    order(*change, report->ordersTaken, now);
+    if (!row.isValid() || !isSameProcess(row, report->bornAt))
+        return abortChange(instance, "the engine has been restarted");
+    // A claim is valid for some seconds only; a node that was suspended since then has lost the lease.
+    if (!m_lease.holdsFor(callTimeout, now))
+        return abortChange(instance, "the lease has expired");
+    sendOrder(*change, report->ordersTaken, now);
 }
 
-void role_orders::order(role_change_under_way& change, std::uint64_t ordersTaken, instant now)
+void role_coordinator::sendOrder(pending_role_change& change, std::uint64_t ordersTaken, instant now)
 {
     change.step = change_step::ordered;
     change.since = now;
@@ -226,11 +227,13 @@
     const auto request = m_parts.protocol.orderRole(
         { fleet.name[row.value], change.role, m_vm, m_lease.fencingNumber(), ordersTaken });
     m_parts.client.fetch(parseEndpoint(address), request, callOptions(),
-        [this, instance](
-            const http_response* response, const exchange_failure& failure) { answered(instance, response, failure); });
+        [this, instance](const http_response* response, const exchange_failure& failure) {
+            onOrderResponse(instance, response, failure);
+        });
 }
 
-void role_orders::answered(const std::string& instance, const http_response* response, const exchange_failure& failure)
+void role_coordinator::onOrderResponse(
+    const std::string& instance, const http_response* response, const exchange_failure& failure)
 {
     if (!response) {
         m_parts.counters.count("tamarack_role_orders_total", { { "result", "unanswered" } });
@@ -238,19 +241,19 @@
             { { "target", instance }, { "may_have_reached", failure.mayHaveReachedPeer },
                 { "reason", failure.reason } });
         if (!failure.mayHaveReachedPeer)
-            giveUp(instance, failure.reason);
-        return; // it may be carried out, also later: the engine is left alone until the list tells
+            abortChange(instance, failure.reason);
+        return; // it may still be executed: the engine stays excluded until the target list shows its role
     }
     const bool isRefused = m_parts.protocol.decodeOrderAnswer(response->status) == order_answer::refused;
     m_parts.counters.count("tamarack_role_orders_total", { { "result", isRefused ? "refused" : "accepted" } });
     m_parts.log.write(log_event::order_answered,
         { { "target", instance }, { "order", isRefused ? "refused" : "accepted" }, { "status", response->status } });
     if (isRefused)
-        giveUp(instance, "refused");
+        abortChange(instance, "refused");
 }
 
-// The order was not sent, or has had no effect: the engine goes on in its role.
-void role_orders::giveUp(const std::string& instance, std::string_view reason)
+// The order was not sent or had no effect, so the engine keeps its role.
+void role_coordinator::abortChange(const std::string& instance, std::string_view reason)
 {
     m_parts.log.write(log_event::role_kept, { { "target", instance }, { "reason", reason } });
     const auto row = m_parts.decisions.fleet().find(instance);
--- a/libs/gateway/src/role_orders.h
+++ b/libs/gateway/src/role_orders.h
@@ -1,4 +1,4 @@
-// Has engines take the role that the split asks for: one node for all, under a lease on the store.
+// Switches engines to the roles that the role split requires. One node acts for all, under a lease in the store.
 #pragma once
 
 #include "gateway/keyed_log.h"
@@ -18,9 +18,10 @@
 
 namespace tamarack {
 
-/// A change goes in steps: the lease; the peers are told, so that nothing new goes to the engine; the engine says how
-/// many orders it has taken; the order, which it refuses if that number is another one by now. An order is sent once.
-class role_orders {
+/// A role change has four steps: acquire the lease; notify the peers, so that no new requests go to the engine; query
+/// how many orders the engine has accepted; send the order, which the engine rejects if that number has changed. An
+/// order is sent only once.
+class role_coordinator {
 public:
     struct dependencies {
         http_client& client;
@@ -29,50 +30,50 @@
         serving::dispatcher& decisions;
         metrics& counters;
         const logger& log;
-        std::function<void()> tellPeers; ///< sends a heartbeat now
-        std::function<void()> onClaimFailed; ///< called when the store refuses or does not answer a claim
+        std::function<void()> notifyPeers; ///< sends a heartbeat now
+        std::function<void()> onClaimFailed; ///< called when a claim of the lease is rejected or times out
     };
 
-    role_orders(dependencies parts, std::string vm, serving::order_lease_settings settings);
+    role_coordinator(dependencies parts, std::string vm, serving::order_lease_settings settings);
 
     void tick(const serving::node_state& self, const std::vector<serving::node_state>& alive, instant now);
-    /// Engines that this node has change their role, for its heartbeats.
-    std::vector<std::uint32_t> changing() const;
-    /// Engines that a peer has change their role.
-    void told(const std::vector<std::uint32_t>& engines, instant now);
+    /// The engines whose role this node is changing, for its heartbeats.
+    std::vector<std::uint32_t> changingEngines() const;
+    /// Marks the engines whose role a peer is changing.
+    void markPeerChanges(const std::vector<std::uint32_t>& engines, instant now);
 
 private:
-    enum class change_step : unsigned char { told, asked, ordered };
+    enum class change_step : unsigned char { announced, queried, ordered };
 
-    struct role_change_under_way {
+    struct pending_role_change {
         std::string instance;
         serving::target_role role = serving::target_role::plain;
-        change_step step = change_step::told;
-        instant since; // of the step
+        change_step step = change_step::announced;
+        instant since; // start of the current step
     };
 
-    static bool isOnDuty(const serving::node_state& self, const std::vector<serving::node_state>& alive);
+    static bool isCoordinator(const serving::node_state& self, const std::vector<serving::node_state>& alive);
     void claim(instant now);
-    void claimAnswered(const store_result<placed_append>& result);
-    void begin(const std::vector<serving::role_change>& changes, instant now);
-    void proceed(instant now);
-    bool isOver(const role_change_under_way& change, instant now) const;
-    void ask(const std::string& instance);
-    void reported(const std::string& instance, const http_response* response);
-    void order(role_change_under_way& change, std::uint64_t ordersTaken, instant now);
-    void answered(const std::string& instance, const http_response* response, const exchange_failure& failure);
-    void giveUp(const std::string& instance, std::string_view reason);
-    /// Whether this life of the engine began then, as far as it is known.
-    bool isLife(target_id engine, std::uint64_t bornAt) const;
-    role_change_under_way* find(const std::string& instance);
-    void markAll(instant now);
+    void onClaimResponse(const store_result<placed_append>& result);
+    void beginChanges(const std::vector<serving::role_change>& changes, instant now);
+    void advanceChanges(instant now);
+    bool isFinished(const pending_role_change& change, instant now) const;
+    void requestReport(const std::string& instance);
+    void onReport(const std::string& instance, const http_response* response);
+    void sendOrder(pending_role_change& change, std::uint64_t ordersTaken, instant now);
+    void onOrderResponse(const std::string& instance, const http_response* response, const exchange_failure& failure);
+    void abortChange(const std::string& instance, std::string_view reason);
+    /// Whether `bornAt` matches the process start time in the target list; true if either of them is unknown.
+    bool isSameProcess(target_id engine, std::uint64_t bornAt) const;
+    pending_role_change* find(const std::string& instance);
+    void markChangingEngines(instant now);
 
     dependencies m_parts;
     std::string m_vm;
     serving::order_lease m_lease;
     serving::role_split m_split;
-    std::vector<role_change_under_way> m_changes;
-    instant m_lookAt; // not before
+    std::vector<pending_role_change> m_changes;
+    instant m_nextCheckAt; // earliest time of the next check of the role split
 };
 
 }
--- a/libs/gateway/src/service_pages.cpp
+++ b/libs/gateway/src/service_pages.cpp
@@ -1,4 +1,4 @@
-// Each page on an address of its own.
+// Implements the endpoints, each on an address of its own.
 #include "service_pages.h"
 
 #include <algorithm>
@@ -10,14 +10,14 @@
 
     using namespace std::chrono_literals;
 
-    /// The shorter, the sooner a node that leaves is free of callers; each caller asks once in this time.
-    constexpr duration usualEntryLifetime = 1s;
-    constexpr std::size_t mostEntries = 64;
+    /// A shorter lifetime frees a draining node of callers sooner, at the cost of one request per caller in this time.
+    constexpr duration defaultEntryLifetime = 1s;
+    constexpr std::size_t maxEntries = 64;
     constexpr std::string_view statePath = "/state";
     constexpr std::string_view configurationPath = "/configuration";
     constexpr std::string_view cachesPath = "/caches";
-    /// Of some 100 KB each at the most, to peers.
-    constexpr std::size_t mostLongAnswers = 40;
+    /// Limit of concurrent large responses to peers, of some 100 KB each.
+    constexpr std::size_t maxLargeResponses = 40;
     constexpr std::string_view metricsPath = "/metrics";
 
     http_response plainText(int status, std::string body = {})
@@ -27,31 +27,35 @@
         return response;
     }
 
-    http_response noRequest(error_kind kind, std::string_view detail)
+    http_response malformedRequestResponse(error_kind kind, std::string_view detail)
     {
         return plainText(answerFor(kind).status, std::string(detail) + "\n");
     }
 
 }
 
-service_pages::service_pages(sources from)
-    : m_from(std::move(from))
+node_endpoints::node_endpoints(sources from)
+    : m_sources(std::move(from))
     , m_ready(
-          {}, [this](const http_request& request, const auto& asker) { answerReady(request, asker); }, noRequest)
+          {}, [this](const http_request& request, const auto& writer) { answerReady(request, writer); },
+          malformedRequestResponse)
     , m_entries(
-          {}, [this](const http_request& request, const auto& asker) { answerEntries(request, asker); }, noRequest)
+          {}, [this](const http_request& request, const auto& writer) { answerEntries(request, writer); },
+          malformedRequestResponse)
     , m_peers(
-          {}, [this](const http_request& request, const auto& asker) { answerPeer(request, asker); }, noRequest)
+          {}, [this](const http_request& request, const auto& writer) { answerPeer(request, writer); },
+          malformedRequestResponse)
     , m_metrics(
-          {}, [this](const http_request& request, const auto& asker) { answerMetrics(request, asker); }, noRequest)
+          {}, [this](const http_request& request, const auto& writer) { answerMetrics(request, writer); },
+          malformedRequestResponse)
 {
 }
 
-duration service_pages::entryLifetime() { return usualEntryLifetime; }
+duration node_endpoints::entryLifetime() { return defaultEntryLifetime; }
 
-std::string service_pages::listen(const gateway_settings& settings)
+std::string node_endpoints::listen(const gateway_settings& settings)
 {
-    m_longestEntryLifetime = settings.longestEntryLifetime;
+    m_maxEntryLifetime = settings.maxEntryLifetime;
     const std::pair<http_server*, const endpoint*> servers[] { { &m_ready, &settings.ready },
         { &m_entries, &settings.entries }, { &m_peers, &settings.admin }, { &m_metrics, &settings.metrics } };
     for (const auto& [server, place] : servers) {
@@ -62,66 +66,68 @@
     return {};
 }
 
-void service_pages::answerReady(const http_request& request, const std::shared_ptr<response_writer>& asker)
+void node_endpoints::answerReady(const http_request& request, const std::shared_ptr<response_writer>& writer)
 {
-    if (!m_from.callers.isReadyQuestion(request))
-        return asker->sendWhole(plainText(404));
-    asker->sendWhole(plainText(m_from.self().isReady ? 200 : 503));
+    if (!m_sources.callers.isReadinessProbe(request))
+        return writer->sendWhole(plainText(404));
+    writer->sendWhole(plainText(m_sources.self().isReady ? 200 : 503));
 }
 
-void service_pages::answerEntries(const http_request& request, const std::shared_ptr<response_writer>& asker)
+void node_endpoints::answerEntries(const http_request& request, const std::shared_ptr<response_writer>& writer)
 {
-    if (!m_from.callers.decodeEntryQuestion(request))
-        return asker->sendWhole(plainText(404));
-    std::vector<serving::node_state> usable = m_from.nodes.alive(boot_clock::now());
+    if (!m_sources.callers.decodeEntryQuery(request))
+        return writer->sendWhole(plainText(404));
+    std::vector<serving::node_state> usable = m_sources.nodes.alive(boot_clock::now());
     std::erase_if(usable, [](const serving::node_state& node) { return !node.isReady || node.isStopping; });
-    if (auto self = m_from.self(); self.isReady)
+    if (auto self = m_sources.self(); self.isReady)
         usable.insert(usable.begin(), std::move(self));
     if (usable.empty())
-        return asker->sendWhole(m_from.callers.refusal(error_kind::not_ready, "no node is ready", 1s));
-    const duration lifetime = std::min(usualEntryLifetime, m_longestEntryLifetime);
-    asker->sendWhole(m_from.callers.entries({ serving::entryAddresses(usable, mostEntries, m_entryTurn++), lifetime }));
+        return writer->sendWhole(m_sources.callers.refusal(error_kind::not_ready, "no node is ready", 1s));
+    const duration lifetime = std::min(defaultEntryLifetime, m_maxEntryLifetime);
+    writer->sendWhole(
+        m_sources.callers.entries({ serving::entryAddresses(usable, maxEntries, m_entryRotation++), lifetime }));
 }
 
-void service_pages::answerPeer(const http_request& request, const std::shared_ptr<response_writer>& asker)
+void node_endpoints::answerPeer(const http_request& request, const std::shared_ptr<response_writer>& writer)
 {
     if (request.path() == statePath)
-        return answerLong(asker, m_from.state);
+        return sendLargeResponse(writer, m_sources.state);
     if (request.path() == configurationPath)
-        return answerLong(asker, m_from.configuration);
+        return sendLargeResponse(writer, m_sources.configuration);
     if (request.path() == cachesPath)
-        return answerLong(asker, m_from.caches);
-    answerMetrics(request, asker);
+        return sendLargeResponse(writer, m_sources.caches);
+    answerMetrics(request, writer);
 }
 
-// What goes wrong without it: after the loss of 300 nodes before 3,000 targets all ask the few with wide links at once,
-// the answers of half a megabyte wait for narrow links, and a node that answers takes 481 MB. Who is refused asks
-// again.
-void service_pages::answerLong(const std::shared_ptr<response_writer>& asker, const std::function<std::string()>& body)
+// The number of concurrent large responses is limited: after the loss of 300 nodes with 3,000 targets, all of them ask
+// the few nodes with wide links at once, responses of half a megabyte queue up for narrow links, and a responding node
+// would take 481 MB of memory. A rejected peer retries.
+void node_endpoints::sendLargeResponse(
+    const std::shared_ptr<response_writer>& writer, const std::function<std::string()>& body)
 {
-    std::erase_if(m_longAnswers, [](const auto& item) {
+    std::erase_if(m_largeResponses, [](const auto& item) {
         const auto answer = item.lock();
         return !answer || !answer->isOpen();
     });
-    if (m_longAnswers.size() >= mostLongAnswers)
-        return asker->sendWhole(plainText(503));
-    m_longAnswers.push_back(asker);
+    if (m_largeResponses.size() >= maxLargeResponses)
+        return writer->sendWhole(plainText(503));
+    m_largeResponses.push_back(writer);
     const auto text = body();
-    asker->startSized({ 200, {} }, text.size());
-    // It counts until its last byte has left.
-    asker->onDrained = [weak = std::weak_ptr(asker)] {
+    writer->startSized({ 200, {} }, text.size());
+    // The response counts as in flight until its last byte has been sent.
+    writer->onDrained = [weak = std::weak_ptr(writer)] {
         const auto answer = weak.lock();
         if (answer && answer->isOpen() && answer->bytesQueued() == 0)
             answer->finish();
     };
-    asker->write(text);
-    if (asker->bytesQueued() == 0)
-        asker->finish();
+    writer->write(text);
+    if (writer->bytesQueued() == 0)
+        writer->finish();
 }
 
-void service_pages::answerMetrics(const http_request& request, const std::shared_ptr<response_writer>& asker)
+void node_endpoints::answerMetrics(const http_request& request, const std::shared_ptr<response_writer>& writer)
 {
-    asker->sendWhole(request.path() == metricsPath ? plainText(200, m_from.counters.text()) : plainText(404));
+    writer->sendWhole(request.path() == metricsPath ? plainText(200, m_sources.counters.text()) : plainText(404));
 }
 
 }
--- a/libs/gateway/src/service_pages.h
+++ b/libs/gateway/src/service_pages.h
@@ -1,4 +1,4 @@
-// What a node answers besides callers' requests: readiness, entry addresses, its state, its metrics.
+// HTTP endpoints of a node besides callers' requests: readiness, entry addresses, state for peers, and metrics.
 #pragma once
 
 #include "gateway/caller_protocol.h"
@@ -15,42 +15,42 @@
 
 namespace tamarack {
 
-class service_pages {
+class node_endpoints {
 public:
     struct sources {
         const caller_protocol& callers;
         const serving::node_directory& nodes;
         const metrics& counters;
         std::function<serving::node_state()> self;
-        std::function<std::string()> state; ///< encoded, for a peer that lacks something
-        std::function<std::string()> configuration; ///< the same, only that
-        std::function<std::string()> caches; ///< encoded, for a peer that has just started
+        std::function<std::string()> state; ///< encoded state, for a peer that has just started or lags behind
+        std::function<std::string()> configuration; ///< the same with the configuration only
+        std::function<std::string()> caches; ///< encoded cache snapshot, for a peer that has just started
     };
 
-    explicit service_pages(sources from);
+    explicit node_endpoints(sources from);
 
-    /// Empty, or the address that cannot be listened on.
+    /// Returns an empty string, or the address on which listening failed.
     std::string listen(const gateway_settings& settings);
-    void setLongestEntryLifetime(duration lifetime) { m_longestEntryLifetime = lifetime; }
-    /// Callers may keep an answer on entry addresses this long, some of them three times as long.
+    void setMaxEntryLifetime(duration lifetime) { m_maxEntryLifetime = lifetime; }
+    /// Time for which callers may cache entry addresses; some cache them three times as long.
     static duration entryLifetime();
 
 private:
-    void answerReady(const http_request& request, const std::shared_ptr<response_writer>& asker);
-    void answerEntries(const http_request& request, const std::shared_ptr<response_writer>& asker);
-    void answerPeer(const http_request& request, const std::shared_ptr<response_writer>& asker);
-    /// An answer that can be long; refused while too many such are on their way.
-    void answerLong(const std::shared_ptr<response_writer>& asker, const std::function<std::string()>& body);
-    void answerMetrics(const http_request& request, const std::shared_ptr<response_writer>& asker);
-
-    sources m_from;
+    void answerReady(const http_request& request, const std::shared_ptr<response_writer>& writer);
+    void answerEntries(const http_request& request, const std::shared_ptr<response_writer>& writer);
+    void answerPeer(const http_request& request, const std::shared_ptr<response_writer>& writer);
+    /// Sends a response that may be large; rejects it with 503 while too many of them are in flight.
+    void sendLargeResponse(const std::shared_ptr<response_writer>& writer, const std::function<std::string()>& body);
+    void answerMetrics(const http_request& request, const std::shared_ptr<response_writer>& writer);
+
+    sources m_sources;
     http_server m_ready;
     http_server m_entries;
     http_server m_peers;
     http_server m_metrics;
-    duration m_longestEntryLifetime = duration::zero();
-    std::vector<std::weak_ptr<response_writer>> m_longAnswers; // that may still be on their way
-    std::size_t m_entryTurn = 0; // so that callers do not all begin with the same node
+    duration m_maxEntryLifetime = duration::zero();
+    std::vector<std::weak_ptr<response_writer>> m_largeResponses; // large responses that may still be in flight
+    std::size_t m_entryRotation = 0; // rotates the address list, so that callers do not all start with the same node
 };
 
 }
