--- a/apps/tamarackctl/log_reader.cpp
+++ b/apps/tamarackctl/log_reader.cpp
@@ -39,7 +39,7 @@
         decoded_page decoded { { page->first }, { page->end }, {} };
         for (const auto& entry : page->entries)
             decoded.items.push_back({ { entry.offset }, decodeRecord({ entry.offset }, entry.data) });
-        m_follower.take(decoded);
+        m_follower.applyPage(decoded);
         if (page->entries.empty() || page->entries.back().offset + 1 >= page->end)
             return true;
     }
--- a/libs/decide/include/decide/account_limiter.h
+++ b/libs/decide/include/decide/account_limiter.h
@@ -1,4 +1,4 @@
-// Rate limits by account, in a table of fixed size.
+// Rate limiter per caller account, with bounded memory.
 #pragma once
 
 #include "base/clock.h"
@@ -8,14 +8,15 @@
 
 namespace tamarack {
 
-/// Token buckets keyed by account hash. The table is four-way associative and bounded: an account that was idle longest
-/// in its set is forgotten, which gives it a full bucket when it comes back.
+/// Token buckets keyed by account hash, in a four-way set-associative table of fixed size. A new account evicts the
+/// least recently used account of its set; an evicted account starts again with a full bucket.
 class account_limiter {
 public:
     explicit account_limiter(std::size_t capacity);
 
+    /// Sets the refill rate in requests per second and the bucket size in requests, for all accounts.
     void setLimit(double perSecond, double burst);
-    /// Zero if the request may go on, else how long to wait before the next would be let through.
+    /// Takes one token. Returns zero if the request is admitted, else the time until the next token is available.
     duration take(std::uint64_t account, instant now);
 
 private:
@@ -25,7 +26,7 @@
 
     double m_perSecond = 100;
     double m_burst = 200;
-    // Columns; an account's set begins at (account % sets) * ways.
+    // Columns; the set of an account starts at slot (account % sets) * ways.
     std::vector<std::uint64_t> m_account;
     std::vector<double> m_tokens;
     std::vector<instant> m_updated;
--- a/libs/decide/include/decide/key_registry.h
+++ b/libs/decide/include/decide/key_registry.h
@@ -1,5 +1,5 @@
-// At-most-once for non-idempotent requests, without a store: the node a caller first asked is the key's home, and only
-// the home may start it or give that right away.
+// Idempotency keys, which give non-idempotent requests at-most-once execution without a shared store. The node that a
+// caller first contacted is the key's home; only the home may run the request or delegate that right to another node.
 #pragma once
 
 #include "base/clock.h"
@@ -13,63 +13,68 @@
 
 namespace tamarack {
 
-/// What a caller sends with the key: the instance it first turned to, and when that instance named itself.
+/// Sent by the caller together with the key: the instance that the caller first contacted, and when that instance
+/// issued this token.
 struct key_home {
     instance_id instance;
-    std::int64_t issuedAt = 0; ///< milliseconds on the home's own boot clock
+    std::int64_t issuedAt = 0; ///< milliseconds on the boot clock of the home instance
 
     bool operator==(const key_home&) const = default;
 };
 
-/// `vm@incarnation/milliseconds`.
+/// Formats as `vm@incarnation/milliseconds`.
 std::string toString(const key_home& home);
+/// Inverse of toString(); returns nothing for malformed text.
 std::optional<key_home> parseKeyHome(const std::string& text);
 
+/// State of a key at one instance.
 enum class key_state : unsigned char {
     running,
-    answered, ///< the answer is kept
-    sealed, ///< another instance was told it may run the request
-    unknown ///< may or may not have run; nothing more can be found out here
+    answered, ///< completed; the answer is stored
+    delegated, ///< another instance was given the right to run the request
+    unknown ///< may or may not have run; this instance cannot determine which
 };
 
 /// What to do with a request that carries a key.
 enum class key_decision : unsigned char {
-    run, ///< never seen: this instance runs it, and nobody else will
-    join, ///< it is running here: wait for its answer
-    replay, ///< it has run: give the kept answer
+    run, ///< not seen before: this instance runs it, and no other will
+    join, ///< running at this instance: wait for its answer
+    replay, ///< completed: return the stored answer
     moved, ///< another instance has the right to run it
-    unknown ///< nobody can tell any more whether it ran
+    unknown ///< it can no longer be determined whether it ran
 };
 
+/// Result of a key look-up.
 struct key_answer {
     key_decision decision = key_decision::unknown;
-    std::string kept; ///< the answer to replay
-    instance_id movedTo;
+    std::string storedAnswer; ///< for decision replay
+    instance_id movedTo; ///< for decision moved
 };
 
-/// The keys of one instance. Not written anywhere: with the process goes the knowledge, and what it knew is *unknown*.
+/// The keys known to one instance, in memory only. After the process ends, the outcome of its keys is *unknown*.
 class key_registry {
 public:
-    /// Outcomes are kept for `memory` at least. Homes issued longer ago than that are no longer believed new.
-    key_registry(instance_id self, duration memory);
+    /// Outcomes are retained for at least `retention`. A key whose home was issued earlier than that is never treated
+    /// as new.
+    key_registry(instance_id self, duration retention);
 
-    /// The home to name to callers now.
+    /// Returns the home token to send to a caller now.
     key_home issue(instant now) const;
-    /// A caller's request with its key. Only for homes of this instance.
-    key_answer requested(const std::string& key, const key_home& home, instant now);
-    /// Another instance asks whether it may run the request. Only for homes of this instance.
-    key_answer askedBy(const instance_id& asker, const std::string& key, const key_home& home, instant now);
-    /// This instance was given the right by the key's home: from now on it is as if it were the home.
-    key_answer adopted(const std::string& key, instant now);
-
-    /// The request has an answer to be kept.
-    void answered(const std::string& key, std::string kept, instant now);
-    /// It was refused before any byte left: the key may be used anew.
-    void notRun(const std::string& key);
-    /// It may have run.
-    void outcomeUnknown(const std::string& key, instant now);
-
-    /// Forgets what is past its memory.
+    /// A caller sent a request with this key. `home` must name this instance.
+    key_answer onRequest(const std::string& key, const key_home& home, instant now);
+    /// Another instance asks for the right to run the request. `home` must name this instance.
+    key_answer onDelegationRequest(const instance_id& asker, const std::string& key, const key_home& home, instant now);
+    /// The key's home delegated the request to this instance, which from now on acts as the home.
+    key_answer onDelegated(const std::string& key, instant now);
+
+    /// The request completed; stores its answer for replay.
+    void onAnswer(const std::string& key, std::string storedAnswer, instant now);
+    /// The request was refused before any byte was sent: the key may be used again.
+    void onNotExecuted(const std::string& key);
+    /// The request may or may not have run.
+    void onOutcomeUnknown(const std::string& key, instant now);
+
+    /// Removes entries whose retention has ended.
     void tick(instant now);
     std::size_t size() const { return m_entries.size(); }
     const instance_id& self() const { return m_self; }
@@ -78,16 +83,18 @@
     struct entry {
         key_state state = key_state::running;
         instant changedAt;
-        std::string kept; // state answered
-        instance_id sealedFor; // state sealed
+        std::string storedAnswer; // for state answered
+        instance_id delegatedTo; // for state delegated
     };
 
     key_answer begin(const std::string& key, instant now);
+    /// The result for a key that has an entry.
     key_answer describe(const entry& known) const;
+    /// Whether the home token is so old that a missing entry does not prove that the key is new.
     bool isStale(const key_home& home, instant now) const;
 
     instance_id m_self;
-    duration m_memory;
+    duration m_retention;
     std::unordered_map<std::string, entry> m_entries;
     instant m_lastSweep;
 };
--- a/libs/decide/include/decide/log_follower.h
+++ b/libs/decide/include/decide/log_follower.h
@@ -1,8 +1,8 @@
-// Reads the log in order into the agreed state, and finds its way in when the log's beginning has expired.
+// Applies the log in order to the replicated state, and recovers by a snapshot when the start of the log has expired.
 #pragma once
 
 #include "base/clock.h"
-#include "decide/agreed_state.h"
+#include "decide/replicated_state.h"
 
 #include <functional>
 #include <optional>
@@ -10,50 +10,54 @@
 
 namespace tamarack {
 
-/// One page of the log, decoded. A record that does not decode is there with its offset only.
+/// One decoded page of the log. A record that does not decode is represented by its offset only.
 struct decoded_page {
     struct item {
         log_offset offset;
         std::optional<log_record> record;
     };
-    log_offset first; ///< oldest offset the log still keeps
-    log_offset end; ///< offset that the next append will get
+    log_offset first; ///< oldest offset that the log retains
+    log_offset end; ///< offset of the next append
     std::vector<item> items;
 };
 
-/// A node that starts on an expired beginning waits for a snapshot, or takes the state of a peer.
+/// If records have expired before this node read them, it buffers what follows until a snapshot in the log or the state
+/// of a peer covers the missing records.
 class log_follower {
 public:
     using record_handler = std::function<void(const log_record&, verdict)>;
 
     explicit log_follower(record_handler onRecord);
 
-    void take(const decoded_page& page);
-    /// Takes a state that a peer or a snapshot has, if it is ahead of this one. True if taken.
-    bool adopt(const agreed_data& data);
+    /// Applies the records of a page; records applied before are ignored.
+    void applyPage(const decoded_page& page);
+    /// Adopts the state of a peer or a snapshot if it is ahead of this one and leaves no gap before the buffered
+    /// records. Returns whether it was adopted.
+    bool adopt(const replicated_data& data);
 
-    const agreed_state& state() const { return m_state; }
-    /// Where to read on.
+    const replicated_state& state() const { return m_state; }
+    /// Offset at which to continue reading.
     log_offset readFrom() const;
-    /// Whether all records up to the log's end at the last page were applied.
+    /// Whether all records up to the end of the log, as of the last page, have been applied.
     bool hasReachedEnd() const { return m_reachedEnd; }
-    /// Records between what this node knows and what the log still keeps are lost to it.
-    bool hasGap() const { return m_isSearching; }
+    /// Whether records between this node's state and the start of the log have expired, so that a snapshot is needed.
+    bool hasGap() const { return m_isAwaitingSnapshot; }
     std::uint64_t undecodable() const { return m_undecodable; }
-    std::uint64_t voidRecords() const { return m_void; }
+    /// Number of records with a verdict other than valid and no_effect.
+    std::uint64_t rejectedRecords() const { return m_rejected; }
 
 private:
     void apply(const decoded_page::item& item);
-    void search(const decoded_page::item& item);
+    void bufferUntilSnapshot(const decoded_page::item& item);
 
     record_handler m_onRecord;
-    agreed_state m_state;
-    bool m_isSearching = false;
-    std::vector<decoded_page::item> m_buffer; // read while searching, from the oldest kept record on
-    log_offset m_searchNext;
+    replicated_state m_state;
+    bool m_isAwaitingSnapshot = false;
+    std::vector<decoded_page::item> m_buffer; // records read while waiting for a snapshot, from the oldest retained one
+    log_offset m_nextBufferedOffset;
     bool m_reachedEnd = false;
     std::uint64_t m_undecodable = 0;
-    std::uint64_t m_void = 0;
+    std::uint64_t m_rejected = 0;
 };
 
 }
--- a/libs/decide/include/decide/membership.h
+++ b/libs/decide/include/decide/membership.h
@@ -1,4 +1,4 @@
-// The nodes that this one knows of, from heartbeats and from the platform's lagging list of VMs.
+// The nodes known to this node, from heartbeats and from the platform's VM list, which lags behind.
 #pragma once
 
 #include "base/clock.h"
@@ -22,7 +22,7 @@
     bool isLeaving = false;
 };
 
-/// What a node says about itself in every heartbeat.
+/// State of a node as sent in each of its heartbeats.
 struct peer_state {
     instance_id instance;
     std::string region;
@@ -47,39 +47,39 @@
 
 struct membership_settings {
     duration peerTimeout = std::chrono::seconds(3);
-    /// A node not heard of for so long, and not listed, is forgotten.
+    /// A node that is not in the VM list is removed when no heartbeat has come from it for this long.
     duration forgetAfter = std::chrono::minutes(10);
-    std::size_t heartbeatsPerRound = 3; ///< random nodes that get one, whatever the fleet
+    std::size_t heartbeatsPerRound = 3; ///< number of randomly chosen recipients, independent of the fleet size
 };
 
-/// Keeps the newest life of each node. A heartbeat of an older incarnation is late and has no effect.
+/// Tracks the newest incarnation of each node. A heartbeat of an older incarnation arrived late and is ignored.
 class membership {
 public:
     membership(std::string self, membership_settings settings, std::uint64_t seed);
 
-    void heard(const peer_state& state, instant now);
-    void listed(const std::vector<listed_vm>& vms, instant now);
+    void recordHeartbeat(const peer_state& state, instant now);
+    void updateVmList(const std::vector<listed_vm>& vms, instant now);
 
-    /// Nodes that answered lately, this one not included.
+    /// Nodes whose last heartbeat is not older than the peer timeout, without this node.
     std::vector<const peer_state*> alive(instant now) const;
-    /// Whether heartbeats have come from this node lately.
+    /// Whether the last heartbeat of the node is not older than the peer timeout.
     bool isAlive(const std::string& vm, instant now) const;
-    /// Whether the platform calls the node's VM leaving.
+    /// Whether the VM list marks the node's VM as leaving.
     bool isLeaving(const std::string& vm) const;
-    /// The newest life known of a node; invalid if none.
-    instance_id newest(const std::string& vm) const;
+    /// The newest known instance of a node; invalid if no heartbeat has come from it.
+    instance_id newestInstance(const std::string& vm) const;
     const peer_state* find(const std::string& vm) const;
-    /// Who gets this round's heartbeats: some at random among the nodes known or listed.
-    std::vector<peer_address> recipients(instant now);
-    /// All nodes known or listed, this one not included.
+    /// Recipients of this round's heartbeats, chosen at random among the known and listed nodes.
+    std::vector<peer_address> heartbeatRecipients(instant now);
+    /// Number of known and listed nodes, without this node.
     std::size_t knownCount() const { return m_peers.size(); }
-    instant lastHeard() const { return m_lastHeard; }
+    instant lastHeartbeatAt() const { return m_lastHeartbeatAt; }
 
 private:
     struct peer {
         peer_state state;
-        instant heardAt;
-        bool wasHeard = false;
+        instant receivedAt;
+        bool hasHeartbeat = false;
         bool isListed = false;
         bool isListedLeaving = false;
     };
@@ -88,7 +88,7 @@
     membership_settings m_settings;
     random_source m_random;
     std::map<std::string, peer> m_peers;
-    instant m_lastHeard;
+    instant m_lastHeartbeatAt;
 };
 
 }
--- a/libs/decide/include/decide/readiness.h
+++ b/libs/decide/include/decide/readiness.h
@@ -1,4 +1,4 @@
-// Whether this node may take new work: only while it can know the configuration in force.
+// Readiness of this node: it accepts new requests only while it can learn the configuration in force.
 #pragma once
 
 #include "base/clock.h"
@@ -9,52 +9,53 @@
 namespace tamarack {
 
 enum class readiness_state : unsigned char {
-    starting, ///< has not yet learned the newest version it can learn
+    starting, ///< has not yet learned the newest version available to it
     ready,
-    behind, ///< others are in force with a newer version than this node can get
-    cut_off, ///< neither the log nor any peer has answered for too long
+    behind, ///< peers serve a newer version that this node has not obtained
+    cut_off, ///< neither the log nor any peer has responded within the isolation timeout
     stopping
 };
 
 std::string_view toString(readiness_state state);
 
 struct readiness_settings {
-    /// Without log and peers for so long, a node refuses new work.
-    duration cutOffAfter = std::chrono::seconds(5);
-    /// A node may be this long behind a version it has heard of.
-    duration behindFor = std::chrono::seconds(3);
+    /// A node that receives nothing from the log and its peers for this long refuses new requests.
+    duration isolationTimeout = std::chrono::seconds(5);
+    /// Longest time for which a node may serve an older version than one that a peer has reported.
+    duration maxVersionLag = std::chrono::seconds(3);
 };
 
-/// What goes wrong without it: a node that was cut off goes on serving an old configuration, so a change that operators
-/// see in force reverts for some callers. A peer whose version it lacks, or silence on all sides, is how it notices.
+/// Prevents an isolated node from serving an old configuration, by which a change that operators see in force would
+/// revert for some callers. The node detects this by a peer with a newer version, or by silence of both the log and all
+/// peers.
 class readiness {
 public:
     explicit readiness(readiness_settings settings, instant startedAt);
 
-    void logAnswered(bool endReached, instant now);
-    void peerHeard(std::uint64_t version, instant now);
-    void versionInForce(std::uint64_t version, instant now);
-    void setOthersKnown(bool known) { m_othersKnown = known; }
+    void onLogResponse(bool endReached, instant now);
+    void onHeartbeat(std::uint64_t version, instant now);
+    void setAppliedVersion(std::uint64_t version, instant now);
+    void setHasPeers(bool known) { m_hasPeers = known; }
     void setStopping() { m_isStopping = true; }
 
     readiness_state state(instant now) const;
-    bool takesWork(instant now) const { return state(now) == readiness_state::ready; }
-    std::uint64_t newestHeard() const { return m_newestHeard; }
-    /// Whether the log has answered lately.
+    bool acceptsRequests(instant now) const { return state(now) == readiness_state::ready; }
+    std::uint64_t newestPeerVersion() const { return m_newestPeerVersion; }
+    /// Whether the log has responded within the isolation timeout.
     bool isLogReachable(instant now) const;
 
 private:
     readiness_settings m_settings;
     instant m_startedAt;
-    instant m_logAnsweredAt;
-    instant m_peerHeardAt;
+    instant m_logResponseAt;
+    instant m_heartbeatAt;
     instant m_behindSince;
     std::uint64_t m_version = 0;
-    std::uint64_t m_newestHeard = 0;
-    bool m_everReadToEnd = false;
-    bool m_hasLogAnswered = false;
-    bool m_hasHeardPeer = false;
-    bool m_othersKnown = false;
+    std::uint64_t m_newestPeerVersion = 0;
+    bool m_hasReadToEnd = false;
+    bool m_hasLogResponse = false;
+    bool m_hasHeartbeat = false;
+    bool m_hasPeers = false;
     bool m_isStopping = false;
 };
 
--- a/libs/decide/include/decide/retry_budget.h
+++ b/libs/decide/include/decide/retry_budget.h
@@ -1,11 +1,12 @@
-// Bounds retries to a share of successes, so that a failing zone cannot be met by twice the load.
+// Retry budget: limits retries to a share of successful requests, so that retries cannot double the load on a failing
+// zone.
 #pragma once
 
 namespace tamarack {
 
 class retry_budget {
 public:
-    /// `ratio` retries for each success; `reserve` may be spent before any success and is the most that is saved up.
+    /// Each success earns `ratio` retries. `reserve` is both the initial and the largest number of retries saved up.
     retry_budget(double ratio, double reserve)
         : m_ratio(ratio)
         , m_reserve(reserve)
@@ -14,7 +15,7 @@
     }
 
     void succeeded() { m_tokens = m_tokens + m_ratio > m_reserve ? m_reserve : m_tokens + m_ratio; }
-    /// Takes one retry; false if there is none left.
+    /// Takes one retry from the budget; returns false if none is left.
     bool spend()
     {
         if (m_tokens < 1)
--- a/libs/decide/include/decide/role_planner.h
+++ b/libs/decide/include/decide/role_planner.h
@@ -1,4 +1,4 @@
-// Decides which engines should read prompts and which should write answers, and when a change pays.
+// Plans the roles of engines (prefill, decode or mixed) and decides when a role change is worth its cost.
 #pragma once
 
 #include "base/clock.h"
@@ -11,23 +11,23 @@
 
 namespace tamarack {
 
-/// One engine as the planner sees it.
+/// Planner input: the state of one engine.
 struct planned_engine {
     std::string name;
     std::string availabilityZone;
     engine_role role = engine_role::mixed;
-    bool isAvailable = true; ///< takes work, or would but for a change under way
+    bool isAvailable = true; ///< accepts requests, or would do so if no change were in progress
     bool isChanging = false;
 };
 
-/// The load of one service: engine seconds asked for each second.
+/// Load of one service, in engine seconds per second.
 struct role_demand {
-    double prefillEngines = 0; ///< engines needed to read the prompts that arrive
-    double decodeEngines = 0; ///< engines needed to write the answers
-    double refusedEngines = 0; ///< of both, what was refused for lack of capacity
+    double prefillEngines = 0; ///< engines needed for the prefill of arriving prompts
+    double decodeEngines = 0; ///< engines needed for the decode of the answers
+    double refusedEngines = 0; ///< share of the above that was refused for lack of capacity, in engines
 };
 
-/// How many engines have each role.
+/// Number of engines of each role.
 struct role_split {
     int prefill = 0;
     int decode = 0;
@@ -39,39 +39,42 @@
     engine_role role = engine_role::mixed;
 };
 
-/// How a baseline differs from the planner; the default is what ships. docs/POLICY.md has the measurements.
+/// Planning policy. The default is the one used in production; the others are baselines, compared in docs/POLICY.md.
 enum class planning_rule : unsigned char {
     gain_over_horizon,
-    threshold, ///< follows the demand at once: no dwell, no weighing
-    fixed
+    threshold, ///< follows the demand at once, without dwell time and without weighing gain against cost
+    fixed ///< never changes a role
 };
 
-/// One service's plan. Changes a role only if the goodput gained over the horizon exceeds the engine seconds lost times
-/// the deployment's weight; one change at a time; a minimum dwell; never below one engine of a role outside each zone.
+/// Planner of one service. Changes a role only if the goodput gained over the horizon exceeds the engine seconds lost
+/// by the change times the weight set in the deployment. Makes one change at a time, keeps each engine in its role for
+/// a minimum dwell time, and after the loss of any one zone leaves the reduced role at least one engine.
 class role_planner {
 public:
     role_planner(policy_entry policy, planning_rule rule = {});
 
     void setPolicy(const policy_entry& policy) { m_policy = policy; }
-    /// The change to make now, if any.
+    /// Returns the change to make now, if any. Expects to be called at regular intervals.
     std::optional<role_change> plan(const std::vector<planned_engine>& engines, const role_demand& demand, instant now);
-    /// Work that a split serves per second, in engine seconds, for a demand; what planning maximises. Routing already
-    /// absorbs much of a shift: mixed engines do both, and idle engines of one role help the other, if less
-    /// efficiently.
-    static double served(const role_split& split, const role_demand& demand);
+    /// Demand that a split can serve, in engine seconds per second; this is the objective that planning maximises. It
+    /// includes what routing absorbs without a role change: mixed engines do both kinds of work, and idle engines of
+    /// one role take work of the other, though less efficiently.
+    static double servedDemand(const role_split& split, const role_demand& demand);
 
 private:
+    /// Double exponential smoothing (level and trend).
     struct smoothed {
         double level = 0;
         double trend = 0; // per second
         bool isSet = false;
     };
 
-    void follow(smoothed& value, double sample, double elapsed) const;
+    void updateSmoothed(smoothed& value, double sample, double elapsed) const;
     role_demand forecast() const;
-    const planned_engine* choose(const std::vector<planned_engine>& engines, engine_role from, instant now) const;
-    bool dwelled(const std::string& name, instant now) const;
-    bool leavesZoneCover(const std::vector<planned_engine>& engines, const planned_engine& moved) const;
+    const planned_engine* chooseEngine(const std::vector<planned_engine>& engines, engine_role from, instant now) const;
+    bool hasDwelled(const std::string& name, instant now) const;
+    /// Whether the role that `moved` gives up keeps an engine after the loss of any one zone.
+    bool keepsZoneRedundancy(const std::vector<planned_engine>& engines, const planned_engine& moved) const;
 
     policy_entry m_policy;
     planning_rule m_rule;
@@ -80,8 +83,8 @@
     std::map<std::string, instant> m_changedAt;
     instant m_lastPlan;
     bool m_hasPlanned = false;
-    instant m_pressureSince;
-    int m_pressure = 0; // +1: more prefill has been wanted since m_pressureSince, -1: more decode
+    instant m_directionSince;
+    int m_desiredDirection = 0; // +1 for more prefill, -1 for more decode, 0 for no change; since m_directionSince
 };
 
 }
--- a/libs/decide/include/decide/router.h
+++ b/libs/decide/include/decide/router.h
@@ -1,4 +1,4 @@
-// Chooses the target for a request: a bounded subset for each node, two random choices, and the prefix's usual place.
+// Chooses the target of a request by subsetting, power of two random choices and prefix affinity.
 #pragma once
 
 #include "base/random_source.h"
@@ -11,18 +11,18 @@
 
 namespace tamarack {
 
-/// How a baseline differs from the router; the default is what ships. docs/POLICY.md has the measurements.
+/// Routing policy. The default is the one used in production; the others are baselines, compared in docs/POLICY.md.
 enum class routing_rule : unsigned char { two_choices, round_robin, least_in_flight, prefix_only };
 
-/// What routing has to know of a request.
-struct routing_need {
+/// Properties of a request that routing depends on.
+struct routing_request {
     request_shape shape;
     request_stage stage = request_stage::whole;
-    target_id avoid; ///< failed just now; taken only if there is no other
-    bool isAged = false; ///< has waited so long that it may use the urgent share
+    target_id avoid; ///< target of the last failed attempt; chosen only if there is no other
+    bool isAged = false; ///< has waited so long that it may use the slots reserved for urgent requests
 };
 
-/// Some of the roles of engines.
+/// A set of engine roles.
 class role_set {
 public:
     constexpr role_set(std::initializer_list<engine_role> roles)
@@ -37,45 +37,48 @@
     unsigned m_bits = 0;
 };
 
+/// A chosen target and its predicted cost.
 struct routing_choice {
     target_id target;
-    double seconds = 0; ///< predicted, until the stage ends there
+    double seconds = 0; ///< predicted time until the stage ends at the target
 };
 
-/// Looks at no more than maxSubset targets a choice, whatever the fleet.
+/// Considers at most maxSubset targets per choice, independent of the fleet size.
 class router {
 public:
     static constexpr std::size_t maxSubset = 24;
 
     router(std::string vm, std::string availabilityZone, std::uint64_t seed, routing_rule rule = {});
 
-    /// Chooses this node's targets of each service anew.
+    /// Recomputes this node's subset of targets for each service.
     void assign(const deployment& config, const target_table& targets);
-    /// A target of one of the roles that may take the request now; an invalid one if there is none. Plain services have
-    /// the mixed role.
-    routing_choice pick(
-        const routing_need& need, role_set roles, const deployment& config, const target_table& targets, instant now);
-    /// Rows this node may use for a service.
+    /// Returns a target of one of the roles that can accept the request now, or an invalid one if there is none.
+    /// Targets of services other than engines have the mixed role.
+    routing_choice pick(const routing_request& request, role_set roles, const deployment& config,
+        const target_table& targets, instant now);
+    /// Rows of the targets that this node uses for a service.
     const std::vector<std::uint32_t>& subset(service_id service) const;
-    /// Requests of this kind that the target may hold at a time.
+    /// Number of requests at the target up to which it accepts a request of this kind.
     static int slotLimit(
-        const service_entry& service, const policy_entry& policy, const routing_need& need, std::uint32_t row);
+        const service_entry& service, const policy_entry& policy, const routing_request& request, std::uint32_t row);
 
 private:
-    /// Fills m_candidates with the targets, of one role or any, that may take the request now.
-    void collect(
-        const routing_need& need, role_set roles, const deployment& config, const target_table& targets, instant now);
-    bool isAdmissible(target_id id, const routing_need& need, const service_entry& service, int limit,
+    /// Fills m_candidates with the targets of the given roles that can accept the request now.
+    void collectCandidates(const routing_request& request, role_set roles, const deployment& config,
+        const target_table& targets, instant now);
+    bool isAdmissible(target_id id, const routing_request& request, const service_entry& service, int limit,
         const target_table& targets, instant now) const;
-    double cost(target_id id, const routing_need& need, const service_entry& service, const target_table& targets,
+    double cost(target_id id, const routing_request& request, const service_entry& service, const target_table& targets,
         instant now) const;
-    routing_choice choose(const routing_need& need, const deployment& config, const target_table& targets, instant now);
+    routing_choice choose(
+        const routing_request& request, const deployment& config, const target_table& targets, instant now);
     target_id cheaperOfTwo(
-        const routing_need& need, const service_entry& service, const target_table& targets, instant now);
-    target_id cheapest(
-        const routing_need& need, const service_entry& service, const target_table& targets, instant now);
-    bool hasMixedRoles(const target_table& targets) const;
-    target_id usualPlace(const routing_need& need, const target_table& targets) const;
+        const routing_request& request, const service_entry& service, const target_table& targets, instant now);
+    target_id cheapestCandidate(
+        const routing_request& request, const service_entry& service, const target_table& targets, instant now);
+    bool hasSeveralRoles(const target_table& targets) const;
+    /// The candidate preferred for the request's prefix, by rendezvous hashing.
+    target_id affinityTarget(const routing_request& request, const target_table& targets) const;
 
     std::string m_vm;
     std::string m_zoneName;
@@ -83,8 +86,8 @@
     random_source m_random;
     routing_rule m_rule;
     std::vector<std::vector<std::uint32_t>> m_subsets; // by service
-    std::vector<std::uint32_t> m_candidates; // kept between calls to avoid allocation
-    std::uint64_t m_turn = 0;
+    std::vector<std::uint32_t> m_candidates; // member to avoid an allocation per call
+    std::uint64_t m_roundRobinIndex = 0;
 };
 
 }
--- a/libs/decide/include/decide/target_table.h
+++ b/libs/decide/include/decide/target_table.h
@@ -1,4 +1,4 @@
-// The targets that this node knows, one row each, in columns.
+// Table of the targets known to this node, stored by columns.
 #pragma once
 
 #include "base/clock.h"
@@ -12,50 +12,52 @@
 
 namespace tamarack {
 
-/// A target's load as it reported it, or as a peer passed it on.
+/// Load of a target as reported by itself or forwarded by a peer.
 struct load_report {
-    instant measuredAt; ///< on this node's clock, lag included
-    std::int32_t running = 0; ///< requests in slots or waiting for one
+    instant measuredAt; ///< on this node's clock, corrected for the report's age
+    std::int32_t running = 0; ///< requests that are in a slot or queued at the target
     std::int64_t prefillTokens = 0; ///< prompt tokens not processed yet
 };
 
-/// Rows keep their id while the target exists; ids of removed targets are used again only when nothing refers to them.
+/// A row keeps its id while the target exists. The row of a removed target is reused only when no work is counted there
+/// any more.
 class target_table {
 public:
-    /// Makes the rows match the configuration; rows of the same name keep their load and state.
+    /// Updates the rows to the configuration. A target that keeps its name and address keeps its load and state.
     void assign(const deployment& config);
 
     std::size_t size() const { return name.size(); }
     target_id find(std::string_view targetName) const;
     target_id findHash(std::uint64_t hash) const;
 
-    /// Requests the target is thought to hold: ours exactly, others' from its report, discounted by the report's age.
+    /// Estimated number of requests at the target: this node's own, which are known exactly, plus those of other nodes
+    /// from the last report, discounted by its age.
     double runningEstimate(target_id id, instant now) const;
-    /// Prompt tokens the target is thought to have before it.
+    /// Estimated number of prompt tokens waiting for prefill at the target.
     double prefillEstimate(target_id id, instant now) const;
-    /// Takes a report unless a newer one is known.
+    /// Applies a report unless a newer one is known.
     void report(target_id id, const load_report& load);
-    /// Whether new work may be given to it at all.
-    bool takesWork(target_id id, instant now) const;
+    /// Whether new requests may be sent to the target.
+    bool acceptsRequests(target_id id, instant now) const;
 
     // Columns, all of one length.
     std::vector<std::string> name;
     std::vector<std::uint64_t> nameHash;
     std::vector<std::string> address;
-    std::vector<std::int32_t> service; // row in the configuration; -1: removed
-    std::vector<std::int32_t> zone; // row in the configuration's availability zones
+    std::vector<std::int32_t> service; // index in the configuration, or -1 for a removed target
+    std::vector<std::int32_t> zone; // index in the configuration's availability zones
     std::vector<engine_role> role;
-    std::vector<std::uint8_t> isChanging; // a role or load order is taking effect
-    std::vector<std::uint8_t> isDraining; // an order is about to be given: no new work, held work ends
-    std::vector<std::uint8_t> isLeaving; // by the VM list, its own answer, or an operator
-    std::vector<instant> blockedUntil; // after failures
-    std::vector<std::int32_t> failures; // in a row
+    std::vector<std::uint8_t> isChanging; // an order is taking effect
+    std::vector<std::uint8_t> isDraining; // an order is pending: no new requests, running ones finish
+    std::vector<std::uint8_t> isLeaving; // according to the VM list, the target's own status or an operator
+    std::vector<instant> blockedUntil; // backoff after failures
+    std::vector<std::int32_t> failures; // consecutive failures
     std::vector<instant> slowStartUntil;
-    std::vector<std::int32_t> ownRunning;
-    std::vector<std::int64_t> ownPrefillTokens;
+    std::vector<std::int32_t> ownRunning; // requests of this node in flight at the target
+    std::vector<std::int64_t> ownPrefillTokens; // prompt tokens of this node not processed yet
     std::vector<load_report> reported;
-    std::vector<std::int32_t> ownRunningAtReport;
-    std::vector<std::int64_t> ownPrefillAtReport;
+    std::vector<std::int32_t> ownRunningAtReport; // ownRunning when the last report was applied
+    std::vector<std::int64_t> ownPrefillAtReport; // ownPrefillTokens when the last report was applied
     std::vector<std::uint64_t> incarnation;
 
 private:
--- a/libs/decide/include/decide/traffic.h
+++ b/libs/decide/include/decide/traffic.h
@@ -1,4 +1,4 @@
-// The messages of the request path: what the node tells the decisions, and what they answer.
+// Types exchanged between the request path and the traffic decisions: request properties, commands and attempt results.
 #pragma once
 
 #include "base/clock.h"
@@ -11,36 +11,37 @@
 
 namespace tamarack {
 
-/// A request as far as routing needs it.
+/// Properties of a request that admission and routing depend on.
 struct request_shape {
     service_id service;
     bool isUrgent = false;
     bool isIdempotent = true;
-    int depth = 0; ///< 0 from a caller, above for calls nested in another request
-    std::uint64_t account = 0; ///< hash
+    int depth = 0; ///< 0 for a request from a caller, higher for calls nested in another request
+    std::uint64_t account = 0; ///< hash of the caller account
     std::int64_t promptTokens = 0;
-    std::int64_t outputTokens = 0; ///< the most it may produce
-    std::uint64_t prefixHash = 0; ///< of the prompt's first piece; 0: none
-    duration deadline = duration::zero(); ///< from arrival; zero: the policy's default
+    std::int64_t outputTokens = 0; ///< maximum number of output tokens
+    std::uint64_t prefixHash = 0; ///< hash of the prompt's first piece, or 0 if there is none
+    duration deadline = duration::zero(); ///< counted from arrival; zero selects the policy's default
 };
 
+/// The part of a request that one attempt executes.
 enum class request_stage : unsigned char {
-    whole, ///< prompt and answer at one target
-    prefill, ///< the prompt only; its KV cache is then imported by another engine
-    decode ///< the answer, from an imported KV cache
+    whole, ///< prefill and decode at one target
+    prefill, ///< prefill only; another engine then imports the KV cache
+    decode ///< decode only, from an imported KV cache
 };
 
-/// Send the request to the target now.
+/// Command to send the request to the target now.
 struct start_attempt {
     request_id request;
     attempt_id attempt;
     target_id target;
     request_stage stage = request_stage::whole;
-    target_id kvSource; ///< stage decode: the engine that holds the KV cache
-    int priority = 0; ///< higher goes first at the target
+    target_id kvSource; ///< for stage decode: the engine that holds the KV cache
+    int priority = 0; ///< scheduling priority at the target; higher runs first
 };
 
-/// Answer the request with an error now.
+/// Command to answer the request with an error now.
 struct refuse_request {
     request_id request;
     error_kind kind = error_kind::overloaded;
@@ -50,13 +51,14 @@
 using traffic_command = std::variant<start_attempt, refuse_request>;
 using traffic_commands = std::vector<traffic_command>;
 
+/// Outcome of one attempt.
 enum class attempt_result : unsigned char {
-    answered, ///< the whole answer came, or stage prefill is done
-    not_sent, ///< no byte can have left
-    refused, ///< the target said that it did not run it
-    cut, ///< some of the answer came, and it can be resumed
-    maybe_run, ///< sent, and no usable answer came
-    kv_missing, ///< stage decode: the KV cache could not be imported
+    answered, ///< the whole answer was received, or stage prefill has completed
+    not_sent, ///< no byte was sent
+    refused, ///< the target reported that it did not execute the request
+    cut, ///< part of the answer was received, and it can be resumed
+    maybe_run, ///< sent, but no usable answer was received
+    kv_missing, ///< for stage decode: the KV cache could not be imported
     count
 };
 
--- a/libs/decide/src/account_limiter.cpp
+++ b/libs/decide/src/account_limiter.cpp
@@ -1,4 +1,4 @@
-// Token buckets in a bounded table.
+// Token buckets in a set-associative table.
 #include "decide/account_limiter.h"
 
 #include <algorithm>
@@ -37,8 +37,8 @@
 duration account_limiter::take(std::uint64_t account, instant now)
 {
     const auto slot = slotFor(account, now);
-    const double earned = seconds(now - m_updated[slot]) * m_perSecond;
-    m_tokens[slot] = std::min(m_burst, m_tokens[slot] + earned);
+    const double refill = seconds(now - m_updated[slot]) * m_perSecond;
+    m_tokens[slot] = std::min(m_burst, m_tokens[slot] + refill);
     m_updated[slot] = now;
     if (m_tokens[slot] < 1)
         return fromSeconds((1 - m_tokens[slot]) / m_perSecond);
--- a/libs/decide/src/control_system.cpp
+++ b/libs/decide/src/control_system.cpp
@@ -1,4 +1,4 @@
-// The control decisions of one node.
+// Control plane decisions of one node.
 #include "decide/control_system.h"
 
 #include "base/hash.h"
@@ -20,63 +20,70 @@
 
 void control_system::onRecord(const log_record& record, verdict v)
 {
-    m_leases.recordSeen(record, v, m_now);
-    m_orders.recordSeen(record, v, m_now);
+    m_leases.onLogRecord(record, v, m_now);
+    m_orders.onLogRecord(record, v, m_now);
     if (std::holds_alternative<snapshot_record>(record.body)) {
         m_lastSnapshot = record.offset;
         m_nextSnapshot = m_now + m_settings.snapshotInterval;
     }
 }
 
-void control_system::pageRead(const decoded_page& page, instant now)
+void control_system::onLogPage(const decoded_page& page, instant now)
 {
     m_now = now;
-    const auto before = agreed().next();
+    const auto before = replicated().next();
     const bool hadGap = m_follower.hasGap();
-    m_follower.take(page);
-    if (hadGap && !m_follower.hasGap() && agreed().next() > before)
-        stateRestored(now);
-    m_ready.logAnswered(m_follower.hasReachedEnd(), now);
+    m_follower.applyPage(page);
+    if (hadGap && !m_follower.hasGap() && replicated().next() > before)
+        applyRestoredState(now);
+    m_ready.onLogResponse(m_follower.hasReachedEnd(), now);
 }
 
-void control_system::peerHeard(const peer_state& state, instant now)
+void control_system::onHeartbeat(const peer_state& state, instant now)
 {
-    m_members.heard(state, now);
-    m_ready.peerHeard(state.configurationVersion, now);
-    m_orders.incarnationSeen(state.instance, now);
+    m_members.recordHeartbeat(state, now);
+    m_ready.onHeartbeat(state.configurationVersion, now);
+    m_orders.onIncarnation(state.instance, now);
 }
 
-void control_system::incarnationHeard(const instance_id& instance, instant now)
+void control_system::onPeerIncarnation(const instance_id& instance, instant now)
 {
-    // The wall clock was set back before this process started: to its peers it looks like a former life of this node.
-    m_looksOlder |= instance.node == m_self.instance.node && instance.incarnation > m_self.instance.incarnation;
-    m_orders.incarnationSeen(instance, now);
+    // If the wall clock was set back before this process started, peers take it for an older incarnation of this node.
+    m_hasNewerIncarnation
+        |= instance.node == m_self.instance.node && instance.incarnation > m_self.instance.incarnation;
+    m_orders.onIncarnation(instance, now);
 }
 
-void control_system::stateOffered(const agreed_data& data, instant now)
+void control_system::onPeerState(const replicated_data& data, instant now)
 {
     m_now = now;
     if (m_follower.adopt(data))
-        stateRestored(now);
+        applyRestoredState(now);
 }
 
-void control_system::stateRestored(instant now)
+void control_system::applyRestoredState(instant now)
 {
-    m_leases.restored(agreed(), now);
-    m_orders.restored(agreed(), now);
+    m_leases.onStateRestored(replicated(), now);
+    m_orders.onStateRestored(replicated(), now);
 }
 
-void control_system::vmsListed(const std::vector<listed_vm>& vms, instant now) { m_members.listed(vms, now); }
+void control_system::onVmList(const std::vector<listed_vm>& vms, instant now) { m_members.updateVmList(vms, now); }
 
-void control_system::targetSeen(const std::string& target, const target_view& view)
+void control_system::onTargetView(const std::string& target, const target_view& view)
 {
     m_views[target] = view;
-    m_orders.targetSeen(target, view);
+    m_orders.onTargetView(target, view);
 }
 
-void control_system::orderAnswered(log_offset order, delivery_result result) { m_orders.orderAnswered(order, result); }
+void control_system::onDeliveryResult(log_offset order, delivery_result result)
+{
+    m_orders.onDeliveryResult(order, result);
+}
 
-void control_system::demandSeen(const std::string& service, const role_demand& demand) { m_demand[service] = demand; }
+void control_system::onServiceDemand(const std::string& service, const role_demand& demand)
+{
+    m_demand[service] = demand;
+}
 
 void control_system::stop()
 {
@@ -88,7 +95,7 @@
 
 bool control_system::holdsLease(const std::string& service, instant now) const
 {
-    return m_leases.holds(leaseName(service), agreed(), now);
+    return m_leases.holds(leaseName(service), replicated(), now);
 }
 
 bool control_system::hasReleased(instant now) const
@@ -99,42 +106,43 @@
         [&](const auto& service) { return holdsLease(service.name, now); });
 }
 
-void control_system::takeConfiguration(instant now, control_output& out)
+void control_system::applyConfiguration(instant now, control_output& out)
 {
-    const auto& agreedConfiguration = agreed().configuration();
-    if (agreedConfiguration.version <= m_triedVersion)
+    const auto& replicatedConfiguration = replicated().configuration();
+    if (replicatedConfiguration.version <= m_parsedVersion)
         return;
-    m_triedVersion = agreedConfiguration.version;
-    auto read = readDeployment(agreedConfiguration.text, "version " + std::to_string(m_triedVersion));
-    m_ready.versionInForce(m_triedVersion, now);
+    m_parsedVersion = replicatedConfiguration.version;
+    auto read = readDeployment(replicatedConfiguration.text, "version " + std::to_string(m_parsedVersion));
+    m_ready.setAppliedVersion(m_parsedVersion, now);
     if (const auto* errors = std::get_if<setting_errors>(&read)) {
-        // An invalid text cannot be undone, only followed by a better one. The last valid text stays in use.
+        // An invalid text in the log cannot be removed, only superseded. The last valid text stays in use.
         m_configurationError = toString(errors->front());
         return;
     }
     m_configurationError.clear();
-    m_servedVersion = m_triedVersion;
+    m_servedVersion = m_parsedVersion;
     m_configuration = std::make_shared<deployment>(std::move(std::get<deployment>(read)));
     for (auto& [name, planner] : m_planners)
         planner.setPolicy(m_configuration->policy);
     out.configuration = m_configuration;
 }
 
-void control_system::assignLeases(instant now)
+void control_system::updateLeaseRanks(instant now)
 {
     if (!m_configuration)
         return;
-    // Rank among the living nodes spreads leases over nodes and makes the likely successor the first to try.
+    // The rank by rendezvous hashing among the live nodes spreads leases over the nodes, and lets the node that ranks
+    // next claim first when a holder fails.
     const auto alive = m_members.alive(now);
     std::map<std::string, int> ranks;
     for (const auto& service : m_configuration->services) {
         if (!service.isEngine())
             continue;
         const auto lease = leaseName(service.name);
-        const auto mine = rendezvousWeight(m_self.instance.node, lease);
+        const auto ownWeight = rendezvousWeight(m_self.instance.node, lease);
         int rank = 0;
         for (const auto* peer : alive)
-            rank += peer->isReady && !peer->isStopping && rendezvousWeight(peer->instance.node, lease) > mine;
+            rank += peer->isReady && !peer->isStopping && rendezvousWeight(peer->instance.node, lease) > ownWeight;
         ranks[lease] = rank;
     }
     m_leases.setLeases(ranks);
@@ -148,7 +156,7 @@
         const auto found = m_views.find(target.name);
         if (found != m_views.end() && found->second.isKnown) {
             engine.isAvailable = true;
-            engine.isChanging = found->second.isChanging || agreed().orders(target.name).isOpen;
+            engine.isChanging = found->second.isChanging || replicated().orders(target.name).isOpen;
             const auto role = found->second.settings.find(order_kind::role);
             bool isRole = false;
             if (role != found->second.settings.end())
@@ -161,7 +169,8 @@
 
 namespace {
 
-    /// What a service's engines shall have loaded, by the kind of order that brings it about; empty: anything.
+    /// The orders that load what the configuration specifies for a service's engines. An empty value means no
+    /// requirement.
     std::vector<target_order> wantedWeights(const service_entry& service)
     {
         std::string adapters;
@@ -199,16 +208,17 @@
     const auto order = [&](const planned_engine& engine, engine_role role) {
         startChange(service, engine.name, { order_kind::role, std::string(toString(role)) });
     };
-    // First the split that the text starts with; the rest stays mixed. From then on the planner moves it.
+    // First establishes the initial split from the configuration, which leaves the remaining engines mixed. After that
+    // the planner changes it.
     int prefill = 0;
     int decode = 0;
     for (const auto& engine : engines) {
         prefill += engine.role == engine_role::prefill;
         decode += engine.role == engine_role::decode;
     }
-    const bool isSplitMade = prefill + decode >= service.prefillTargets + service.decodeTargets;
+    const bool hasInitialSplit = prefill + decode >= service.prefillTargets + service.decodeTargets;
     for (const auto& engine : engines) {
-        if (!isSplitMade && engine.isAvailable && engine.role == engine_role::mixed)
+        if (!hasInitialSplit && engine.isAvailable && engine.role == engine_role::mixed)
             return order(engine, prefill < service.prefillTargets ? engine_role::prefill : engine_role::decode);
     }
     if (!m_configuration->policy.planRoles)
@@ -222,11 +232,11 @@
 
 void control_system::startChange(const service_entry& service, const std::string& target, target_order order)
 {
-    m_orders.want(target, leaseName(service.name), service.checksFencing, order);
+    m_orders.setDesired(target, leaseName(service.name), service.checksFencing, order);
     m_changes[service.name] = { target, std::move(order) };
 }
 
-bool control_system::isChangeUnderWay(const std::string& service)
+bool control_system::isChangeInProgress(const std::string& service)
 {
     const auto pending = m_changes.find(service);
     if (pending == m_changes.end())
@@ -237,16 +247,16 @@
     const auto present
         = isKnown ? view->second.settings.find(order.kind) : std::map<order_kind, std::string>::const_iterator();
     const bool isDone = isKnown && present != view->second.settings.end() && present->second == order.value;
-    if (isKnown && (!isDone || agreed().orders(target).isOpen))
+    if (isKnown && (!isDone || replicated().orders(target).isOpen))
         return true;
-    m_orders.forget(target);
+    m_orders.clearDesired(target);
     m_changes.erase(pending);
     return false;
 }
 
 void control_system::planService(const service_entry& service, instant now)
 {
-    if (isChangeUnderWay(service.name))
+    if (isChangeInProgress(service.name))
         return;
     const auto engines = enginesOf(service);
     const bool isChanging = std::any_of(engines.begin(), engines.end(), [](const auto& e) { return e.isChanging; });
@@ -256,59 +266,61 @@
         planRoles(service, engines, now);
 }
 
-void control_system::wantSnapshot(instant now, control_output& out)
+void control_system::appendSnapshotIfDue(instant now, control_output& out)
 {
-    if (now < m_nextSnapshot || agreed().next().value == 0 || !m_configuration)
+    if (now < m_nextSnapshot || replicated().next().value == 0 || !m_configuration)
         return;
     const auto holder = std::find_if(m_configuration->services.begin(), m_configuration->services.end(),
         [](const auto& service) { return service.isEngine(); });
     if (holder == m_configuration->services.end() || !holdsLease(holder->name, now))
         return;
     m_nextSnapshot = now + m_settings.snapshotInterval;
-    out.appends.push_back(snapshot_record { agreed().data() });
+    out.appends.push_back(snapshot_record { replicated().data() });
 }
 
 control_output control_system::tick(instant now)
 {
     control_output out;
-    m_ready.setOthersKnown(m_members.knownCount() > 0);
-    takeConfiguration(now, out);
-    assignLeases(now);
+    m_ready.setHasPeers(m_members.knownCount() > 0);
+    applyConfiguration(now, out);
+    updateLeaseRanks(now);
     if (m_isStopping && !m_orders.hasUndelivered())
         m_leases.releaseAll();
-    const bool mayClaim = m_ready.takesWork(now) && m_follower.hasReachedEnd();
-    for (auto& wanted : m_leases.step(agreed(), now, mayClaim))
-        out.appends.push_back(std::move(wanted.body));
+    const bool mayClaim = m_ready.acceptsRequests(now) && m_follower.hasReachedEnd();
+    for (auto& append : m_leases.step(replicated(), now, mayClaim))
+        out.appends.push_back(std::move(append.body));
     if (m_configuration && !m_isStopping) {
         for (const auto& service : m_configuration->services) {
             if (service.isEngine() && holdsLease(service.name, now))
                 planService(service, now);
         }
     }
-    auto orders = m_orders.step(agreed(), m_leases, now);
-    for (auto& wanted : orders.appends)
-        out.appends.push_back(std::move(wanted.body));
+    auto orders = m_orders.step(replicated(), m_leases, now);
+    for (auto& append : orders.appends)
+        out.appends.push_back(std::move(append.body));
     out.deliveries = std::move(orders.deliveries);
-    wantSnapshot(now, out);
+    appendSnapshotIfDue(now, out);
     return out;
 }
 
-void control_system::appendSent(const record_body& body, std::uint64_t sequence, instant now)
+void control_system::onAppendSent(const record_body& body, std::uint64_t sequence, instant now)
 {
-    m_leases.appendSent(body, sequence, now);
+    m_leases.onAppendSent(body, sequence, now);
 }
 
 std::vector<alarm> control_system::alarms(instant now) const
 {
     std::vector<alarm> raised;
     if (!m_ready.isLogReachable(now))
-        raised.push_back({ "log_unreachable", "the platform's log has not answered lately" });
+        raised.push_back({ "log_unreachable", "the platform's log has not responded within the isolation timeout" });
     if (m_follower.hasGap())
-        raised.push_back({ "log_gap", "records expired before this node read them, and no snapshot bridges the gap" });
+        raised.push_back(
+            { "log_gap", "log records expired before this node read them, and no snapshot covers the gap" });
     if (!m_configurationError.empty())
         raised.push_back({ "configuration_invalid", m_configurationError });
-    if (m_looksOlder)
-        raised.push_back({ "incarnation_too_low", "peers know a newer life of this node; its clock was set back" });
+    if (m_hasNewerIncarnation)
+        raised.push_back(
+            { "incarnation_too_low", "peers know a newer incarnation of this node; its clock was set back" });
     const auto state = m_ready.state(now);
     if (state == readiness_state::behind || state == readiness_state::cut_off)
         raised.push_back({ "not_ready", std::string(toString(state)) });
--- a/libs/decide/src/key_registry.cpp
+++ b/libs/decide/src/key_registry.cpp
@@ -1,4 +1,4 @@
-// Keys of non-idempotent requests.
+// Idempotency keys of non-idempotent requests.
 #include "decide/key_registry.h"
 
 #include "base/contract.h"
@@ -8,7 +8,7 @@
 namespace tamarack {
 
 namespace {
-    constexpr int sweepsPerMemory = 20;
+    constexpr int sweepsPerRetention = 20;
 
     std::int64_t milliseconds(instant at)
     {
@@ -33,20 +33,21 @@
     return home;
 }
 
-key_registry::key_registry(instance_id self, duration memory)
+key_registry::key_registry(instance_id self, duration retention)
     : m_self(std::move(self))
-    , m_memory(memory)
+    , m_retention(retention)
 {
 }
 
 key_home key_registry::issue(instant now) const { return { m_self, milliseconds(now) }; }
 
-// A key is forgotten `memory` after its last change, which is never before its home was issued. So a home younger than
-// `memory` proves that a key not found here was never here; with an older one, "not found" proves nothing.
+// An entry is removed one retention time after its last change, which is never before its home was issued. If the home
+// was issued less than the retention time ago, a missing entry therefore proves that the key was never used here. With
+// an older home it proves nothing.
 bool key_registry::isStale(const key_home& home, instant now) const
 {
     const auto age = std::chrono::milliseconds(milliseconds(now) - home.issuedAt);
-    return age >= m_memory || age < std::chrono::milliseconds(0);
+    return age >= m_retention || age < std::chrono::milliseconds(0);
 }
 
 key_answer key_registry::describe(const entry& known) const
@@ -55,9 +56,9 @@
     case key_state::running:
         return { key_decision::join, {}, {} };
     case key_state::answered:
-        return { key_decision::replay, known.kept, {} };
-    case key_state::sealed:
-        return { key_decision::moved, {}, known.sealedFor };
+        return { key_decision::replay, known.storedAnswer, {} };
+    case key_state::delegated:
+        return { key_decision::moved, {}, known.delegatedTo };
     case key_state::unknown:
         break;
     }
@@ -70,7 +71,7 @@
     return { key_decision::run, {}, {} };
 }
 
-key_answer key_registry::requested(const std::string& key, const key_home& home, instant now)
+key_answer key_registry::onRequest(const std::string& key, const key_home& home, instant now)
 {
     TAMARACK_ASSERT(home.instance == m_self, "only the home decides about a key");
     if (const auto found = m_entries.find(key); found != m_entries.end())
@@ -80,47 +81,48 @@
     return begin(key, now);
 }
 
-key_answer key_registry::askedBy(const instance_id& asker, const std::string& key, const key_home& home, instant now)
+key_answer key_registry::onDelegationRequest(
+    const instance_id& asker, const std::string& key, const key_home& home, instant now)
 {
     TAMARACK_ASSERT(home.instance == m_self, "only the home decides about a key");
     if (const auto found = m_entries.find(key); found != m_entries.end()) {
-        // The asker may not have had the first answer; the right is given to the same instance as often as it asks.
-        if (found->second.state == key_state::sealed && found->second.sealedFor == asker)
+        // The first response may have been lost, so the right is granted to the same instance each time it asks.
+        if (found->second.state == key_state::delegated && found->second.delegatedTo == asker)
             return { key_decision::run, {}, {} };
         return describe(found->second);
     }
     if (isStale(home, now))
         return { key_decision::unknown, {}, {} };
-    m_entries[key] = { key_state::sealed, now, {}, asker };
+    m_entries[key] = { key_state::delegated, now, {}, asker };
     return { key_decision::run, {}, {} };
 }
 
-key_answer key_registry::adopted(const std::string& key, instant now)
+key_answer key_registry::onDelegated(const std::string& key, instant now)
 {
     if (const auto found = m_entries.find(key); found != m_entries.end())
         return describe(found->second);
     return begin(key, now);
 }
 
-void key_registry::answered(const std::string& key, std::string kept, instant now)
+void key_registry::onAnswer(const std::string& key, std::string storedAnswer, instant now)
 {
-    m_entries[key] = { key_state::answered, now, std::move(kept), {} };
+    m_entries[key] = { key_state::answered, now, std::move(storedAnswer), {} };
 }
 
-void key_registry::notRun(const std::string& key) { m_entries.erase(key); }
+void key_registry::onNotExecuted(const std::string& key) { m_entries.erase(key); }
 
-void key_registry::outcomeUnknown(const std::string& key, instant now)
+void key_registry::onOutcomeUnknown(const std::string& key, instant now)
 {
     m_entries[key] = { key_state::unknown, now, {}, {} };
 }
 
 void key_registry::tick(instant now)
 {
-    if (now < m_lastSweep + m_memory / sweepsPerMemory)
+    if (now < m_lastSweep + m_retention / sweepsPerRetention)
         return;
     m_lastSweep = now;
     std::erase_if(m_entries, [&](const auto& item) {
-        return item.second.state != key_state::running && now >= item.second.changedAt + m_memory;
+        return item.second.state != key_state::running && now >= item.second.changedAt + m_retention;
     });
 }
 
--- a/libs/decide/src/lease_system.cpp
+++ b/libs/decide/src/lease_system.cpp
@@ -1,4 +1,4 @@
-// Claims, renewals, releases.
+// Claims, renewals and releases of leases.
 #include "decide/lease_system.h"
 
 namespace tamarack {
@@ -8,7 +8,7 @@
     constexpr std::size_t maxPendingSends = 64;
     constexpr int renewalsPerLength = 3;
 
-    const std::string* leaseOf(const record_body& body)
+    const std::string* leaseNameOf(const record_body& body)
     {
         if (const auto* claim = std::get_if<claim_record>(&body))
             return &claim->lease;
@@ -34,9 +34,9 @@
         m_entries[name].rank = rank;
 }
 
-void lease_system::recordSeen(const log_record& record, verdict v, instant now)
+void lease_system::onLogRecord(const log_record& record, verdict v, instant now)
 {
-    const std::string* name = leaseOf(record.body);
+    const std::string* name = leaseNameOf(record.body);
     if (!name)
         return;
     const auto found = m_entries.find(*name);
@@ -48,78 +48,79 @@
         item.isPending = false;
     if (v != verdict::valid)
         return;
-    item.lastSeen = record.offset;
-    item.sightOfLast = now;
-    item.everSeen = true;
+    item.lastSeenOffset = record.offset;
+    item.lastSeenAt = now;
+    item.hasSeenRecord = true;
     const auto sent = isMine ? item.sentAt.find(record.origin.sequence) : item.sentAt.end();
     if (!isMine || std::holds_alternative<release_record>(record.body)) {
-        item.isTrusted = false;
+        item.isConfirmed = false;
         return;
     }
     if (sent == item.sentAt.end())
-        return; // sent so long ago that its time is forgotten: it proves nothing about now
-    item.trustedUntil = sent->second + m_settings.length;
-    item.isTrusted = true;
+        return; // sent so long ago that its sending time was discarded, so no expiry can be derived from it
+    item.validUntil = sent->second + m_settings.length;
+    item.isConfirmed = true;
     item.nextRenewal = sent->second + m_settings.length / renewalsPerLength;
     item.sentAt.erase(item.sentAt.begin(), std::next(sent));
 }
 
-// What goes wrong without it: a node that was frozen gets a peer's state before the log answers, finds the lease's last
-// record as old as its own freeze, and claims it from a holder that renewed a moment ago. Two nodes then hold the lease
-// until the first one reads the claim; one notices by targets that get the same order under two numbers.
-void lease_system::restored(const agreed_state& state, instant now)
+// A node that resumes after a freeze may receive a peer's state before the log responds. If the lease records in that
+// state did not count as seen now, the node would date the lease's last record from before its freeze and claim the
+// lease from a holder that has just renewed it. Two nodes would then hold the lease until the first one reads the
+// claim, which shows as targets that receive the same order with two fencing tokens.
+void lease_system::onStateRestored(const replicated_state& state, instant now)
 {
     for (auto& [name, item] : m_entries) {
         const lease_state& held = state.lease(name);
-        if (!held.last.isValid() || held.last == item.lastSeen)
+        if (!held.last.isValid() || held.last == item.lastSeenOffset)
             continue;
-        item.lastSeen = held.last;
-        item.sightOfLast = now;
-        item.everSeen = true;
+        item.lastSeenOffset = held.last;
+        item.lastSeenAt = now;
+        item.hasSeenRecord = true;
         if (held.holder != m_self)
-            item.isTrusted = false;
+            item.isConfirmed = false;
     }
 }
 
-std::vector<wanted_append> lease_system::step(const agreed_state& state, instant now, bool mayClaim)
+std::vector<append_request> lease_system::step(const replicated_state& state, instant now, bool mayClaim)
 {
-    std::vector<wanted_append> out;
+    std::vector<append_request> out;
     for (auto& [name, item] : m_entries)
-        stepOne(name, item, state, now, mayClaim, out);
+        stepLease(name, item, state, now, mayClaim, out);
     return out;
 }
 
-bool lease_system::isVacant(const entry& item, const lease_state& held, instant now) const
+bool lease_system::isClaimable(const entry& item, const lease_state& held, instant now) const
 {
     const duration stagger = m_settings.appendRetry / 4 * item.rank;
     if (!held.holder.isValid())
-        return now >= item.firstWanted + stagger;
-    const instant since = item.everSeen ? item.sightOfLast : item.firstWanted;
+        return now >= item.firstConsideredAt + stagger;
+    const instant since = item.hasSeenRecord ? item.lastSeenAt : item.firstConsideredAt;
     return now >= since + m_settings.length + m_settings.margin + stagger;
 }
 
-void lease_system::stepOne(const std::string& name, entry& item, const agreed_state& state, instant now, bool mayClaim,
-    std::vector<wanted_append>& out)
+void lease_system::stepLease(const std::string& name, entry& item, const replicated_state& state, instant now,
+    bool mayClaim, std::vector<append_request>& out)
 {
-    if (item.firstWanted == instant())
-        item.firstWanted = now;
+    if (item.firstConsideredAt == instant())
+        item.firstConsideredAt = now;
     if (item.isPending && now < item.pendingSince + m_settings.appendRetry)
         return;
     const lease_state& held = state.lease(name);
     if (held.holder == m_self) {
-        if (m_releasing)
+        if (m_isReleasing)
             out.push_back({ release_record { name, held.term } });
         else if (now >= item.nextRenewal)
             out.push_back({ renewal_record { name, held.term } });
         return;
     }
-    if (mayClaim && !m_releasing && isVacant(item, held, now))
+    if (mayClaim && !m_isReleasing && isClaimable(item, held, now))
         out.push_back({ claim_record { name, held.last } });
 }
 
-void lease_system::appendSent(const record_body& body, std::uint64_t sequence, instant now)
+void lease_system::onAppendSent(const record_body& body, std::uint64_t sequence, instant now)
 {
-    const std::string* name = leaseOf(body);
+    const std::string* name = leaseNameOf(body);
     if (!name || !m_entries.contains(*name))
         return;
     entry& item = m_entries[*name];
@@ -130,15 +131,15 @@
         item.sentAt.erase(item.sentAt.begin());
 }
 
-bool lease_system::holds(const std::string& lease, const agreed_state& state, instant now) const
+bool lease_system::holds(const std::string& lease, const replicated_state& state, instant now) const
 {
     const auto found = m_entries.find(lease);
-    if (found == m_entries.end() || !found->second.isTrusted)
+    if (found == m_entries.end() || !found->second.isConfirmed)
         return false;
-    return state.lease(lease).holder == m_self && now < found->second.trustedUntil;
+    return state.lease(lease).holder == m_self && now < found->second.validUntil;
 }
 
-log_offset lease_system::term(const std::string& lease, const agreed_state& state) const
+log_offset lease_system::term(const std::string& lease, const replicated_state& state) const
 {
     return state.lease(lease).term;
 }
--- a/libs/decide/src/membership.cpp
+++ b/libs/decide/src/membership.cpp
@@ -1,4 +1,4 @@
-// Nodes, heard and listed.
+// Tracks nodes by heartbeats and by the VM list.
 #include "decide/membership.h"
 
 #include <algorithm>
@@ -12,20 +12,20 @@
 {
 }
 
-void membership::heard(const peer_state& state, instant now)
+void membership::recordHeartbeat(const peer_state& state, instant now)
 {
     if (state.instance.node == m_self || !state.instance.isValid())
         return;
     peer& known = m_peers[state.instance.node];
-    if (known.wasHeard && state.instance.incarnation < known.state.instance.incarnation)
+    if (known.hasHeartbeat && state.instance.incarnation < known.state.instance.incarnation)
         return;
     known.state = state;
-    known.heardAt = now;
-    known.wasHeard = true;
-    m_lastHeard = now;
+    known.receivedAt = now;
+    known.hasHeartbeat = true;
+    m_lastHeartbeatAt = now;
 }
 
-void membership::listed(const std::vector<listed_vm>& vms, instant now)
+void membership::updateVmList(const std::vector<listed_vm>& vms, instant now)
 {
     for (auto& [name, known] : m_peers)
         known.isListed = known.isListedLeaving = false;
@@ -35,7 +35,7 @@
         peer& known = m_peers[vm.name];
         known.isListed = true;
         known.isListedLeaving = vm.isLeaving;
-        if (known.wasHeard)
+        if (known.hasHeartbeat)
             continue;
         known.state.instance.node = vm.name;
         known.state.address = vm.address;
@@ -45,7 +45,7 @@
     }
     std::erase_if(m_peers, [&](const auto& item) {
         const peer& known = item.second;
-        const bool isSilent = !known.wasHeard || now >= known.heardAt + m_settings.forgetAfter;
+        const bool isSilent = !known.hasHeartbeat || now >= known.receivedAt + m_settings.forgetAfter;
         return !known.isListed && isSilent;
     });
 }
@@ -54,7 +54,7 @@
 {
     std::vector<const peer_state*> found;
     for (const auto& [name, known] : m_peers) {
-        if (known.wasHeard && now < known.heardAt + m_settings.peerTimeout)
+        if (known.hasHeartbeat && now < known.receivedAt + m_settings.peerTimeout)
             found.push_back(&known.state);
     }
     return found;
@@ -63,7 +63,8 @@
 bool membership::isAlive(const std::string& vm, instant now) const
 {
     const auto found = m_peers.find(vm);
-    return found != m_peers.end() && found->second.wasHeard && now < found->second.heardAt + m_settings.peerTimeout;
+    return found != m_peers.end() && found->second.hasHeartbeat
+        && now < found->second.receivedAt + m_settings.peerTimeout;
 }
 
 bool membership::isLeaving(const std::string& vm) const
@@ -72,10 +73,10 @@
     return found != m_peers.end() && found->second.isListedLeaving;
 }
 
-instance_id membership::newest(const std::string& vm) const
+instance_id membership::newestInstance(const std::string& vm) const
 {
     const auto found = m_peers.find(vm);
-    if (found == m_peers.end() || !found->second.wasHeard)
+    if (found == m_peers.end() || !found->second.hasHeartbeat)
         return {};
     return found->second.state.instance;
 }
@@ -86,19 +87,19 @@
     return found == m_peers.end() ? nullptr : &found->second.state;
 }
 
-std::vector<peer_address> membership::recipients(instant)
+std::vector<peer_address> membership::heartbeatRecipients(instant)
 {
     std::vector<const peer*> all;
     for (const auto& [name, known] : m_peers) {
         if (known.state.peerPort != 0)
             all.push_back(&known);
     }
-    // Silent nodes are asked too: one that was cut off is heard of again only if somebody speaks to it.
+    // Silent nodes are included: a node that was partitioned rejoins only if another node sends it a heartbeat.
     std::vector<peer_address> chosen;
-    const std::size_t wanted = std::min(all.size(), m_settings.heartbeatsPerRound);
-    for (std::size_t i = 0; i < wanted; ++i) {
-        const auto at = i + m_random.below(all.size() - i);
-        std::swap(all[i], all[at]);
+    const std::size_t count = std::min(all.size(), m_settings.heartbeatsPerRound);
+    for (std::size_t i = 0; i < count; ++i) {
+        const auto index = i + m_random.below(all.size() - i);
+        std::swap(all[i], all[index]);
         const auto& state = all[i]->state;
         chosen.push_back({ state.instance.node, state.address, state.peerPort });
     }
--- a/libs/decide/src/order_system.cpp
+++ b/libs/decide/src/order_system.cpp
@@ -1,4 +1,4 @@
-// Orders: record, read back, deliver once, watch the effect, close.
+// Life cycle of an order: append its record, read it back, deliver it once, observe its effect, close it.
 #include "decide/order_system.h"
 
 #include "base/contract.h"
@@ -12,15 +12,16 @@
 {
 }
 
-void order_system::want(const std::string& target, const std::string& lease, bool checksFencing, target_order order)
+void order_system::setDesired(
+    const std::string& target, const std::string& lease, bool checksFencing, target_order order)
 {
-    TAMARACK_ASSERT(order.kind != order_kind::none, "a wanted order has a kind");
-    m_wanted[target] = { lease, checksFencing, std::move(order) };
+    TAMARACK_ASSERT(order.kind != order_kind::none, "a desired order has a kind");
+    m_desired[target] = { lease, checksFencing, std::move(order) };
 }
 
-void order_system::forget(const std::string& target) { m_wanted.erase(target); }
+void order_system::clearDesired(const std::string& target) { m_desired.erase(target); }
 
-void order_system::recordSeen(const log_record& record, verdict v, instant now)
+void order_system::onLogRecord(const log_record& record, verdict v, instant now)
 {
     const bool isMine = record.origin.writer == m_self;
     if (const auto* order = std::get_if<order_record>(&record.body)) {
@@ -39,21 +40,21 @@
     }
 }
 
-void order_system::restored(const agreed_state& state, instant now)
+void order_system::onStateRestored(const replicated_state& state, instant now)
 {
     for (const auto& [target, orders] : state.data().orders) {
         m_orderSeenAt[target] = now;
-        // An order of this instance that it learns of from a peer was never sent: only a record read back is. It must
-        // not be sent now either, since its turn may be long over.
+        // An own order that is learned from a peer's state was never sent, since only an order read back from the log
+        // is sent. It must not be sent now either, because it may be long outdated.
         const bool isMine = orders.isOpen && orders.deliverer == m_self;
         if (isMine && !m_deliveries.contains(orders.last))
             m_deliveries[orders.last] = { target, std::nullopt, {}, true };
     }
 }
 
-void order_system::targetSeen(const std::string& target, const target_view& view) { m_views[target] = view; }
+void order_system::onTargetView(const std::string& target, const target_view& view) { m_views[target] = view; }
 
-void order_system::incarnationSeen(const instance_id& instance, instant now)
+void order_system::onIncarnation(const instance_id& instance, instant now)
 {
     auto& newest = m_incarnations[instance.node];
     if (newest.first >= instance.incarnation)
@@ -61,7 +62,7 @@
     newest = { instance.incarnation, now };
 }
 
-void order_system::orderAnswered(log_offset order, delivery_result result)
+void order_system::onDeliveryResult(log_offset order, delivery_result result)
 {
     const auto found = m_deliveries.find(order);
     if (found != m_deliveries.end())
@@ -77,7 +78,7 @@
     return false;
 }
 
-order_system::output order_system::step(const agreed_state& state, const lease_system& leases, instant now)
+order_system::output order_system::step(const replicated_state& state, const lease_system& leases, instant now)
 {
     output out;
     m_waitingForProof.clear();
@@ -89,14 +90,14 @@
         if (open.isOpen)
             stepOpen(target, open, state, leases, now, out);
     }
-    for (const auto& [target, change] : m_wanted) {
+    for (const auto& [target, change] : m_desired) {
         if (!state.orders(target).isOpen)
-            stepWanted(target, change, state, leases, now, out);
+            stepDesired(target, change, state, leases, now, out);
     }
     return out;
 }
 
-void order_system::stepOpen(const std::string& target, const target_orders& open, const agreed_state& state,
+void order_system::stepOpen(const std::string& target, const target_orders& open, const replicated_state& state,
     const lease_system& leases, instant now, output& out)
 {
     if (open.deliverer == m_self)
@@ -105,7 +106,7 @@
         stepInherited(target, open, state, now, out);
 }
 
-void order_system::stepOwn(const std::string& target, const target_orders& open, const agreed_state& state,
+void order_system::stepOwn(const std::string& target, const target_orders& open, const replicated_state& state,
     const lease_system& leases, instant now, output& out)
 {
     const auto found = m_deliveries.find(open.last);
@@ -119,8 +120,8 @@
     if ((isUnsent && !isOwnTerm && m_safeguards.checkLeaseBeforeSend) || hasWaitedTooLong)
         item.isDropped = true;
     const bool isUndelivered = item.isDropped || item.result == delivery_result::not_sent;
-    // A re-issue that may not have arrived has not raised the fence, so the copies that it replaces are not stopped
-    // yet.
+    // A reissued order that may not have arrived may not have raised the fencing token, so the copies that it replaces
+    // are not fenced off yet.
     if (open.isReissue && (isUndelivered || item.result == delivery_result::closed)) {
         if (holdsLease)
             reissue(target, open, term, now, out);
@@ -146,13 +147,13 @@
 }
 
 void order_system::stepInherited(
-    const std::string& target, const target_orders& open, const agreed_state& state, instant now, output& out)
+    const std::string& target, const target_orders& open, const replicated_state& state, instant now, output& out)
 {
     const log_offset term = state.lease(open.lease).term;
-    // The former holder's copy may still be on its way. Once the target has seen the higher number, it refuses it.
+    // The former holder's copy may still be in flight. The target rejects it once it has seen the higher fencing token.
     if (open.checksFencing && m_safeguards.reissueBeforeNew)
         return reissue(target, open, term, now, out);
-    if (const auto proof = proofOfEnd(target, open, now))
+    if (const auto proof = provenEnd(target, open, now))
         return close(target, open, term, *proof, now, out);
     m_waitingForProof.insert(target);
 }
@@ -167,9 +168,9 @@
         { order_record { open.lease, term, target, open.order, true, open.last, true, open.targetIncarnation } });
 }
 
-// A target that does not check would take the former holder's copy at any time. Nothing else may be sent to it until
-// that copy has been seen to arrive, or is proved never to.
-std::optional<order_end> order_system::proofOfEnd(
+// A target that does not check fencing tokens accepts the former holder's copy at any time. No other order may be sent
+// to it until that copy has verifiably arrived, or verifiably cannot arrive any more.
+std::optional<order_end> order_system::provenEnd(
     const std::string& target, const target_orders& open, instant now) const
 {
     if (!m_safeguards.adoptOpenOrders)
@@ -181,7 +182,7 @@
     return std::nullopt;
 }
 
-void order_system::stepWanted(const std::string& target, const wanted_change& change, const agreed_state& state,
+void order_system::stepDesired(const std::string& target, const desired_change& change, const replicated_state& state,
     const lease_system& leases, instant now, output& out)
 {
     if (!leases.holds(change.lease, state, now) || isPending(target, now))
@@ -189,11 +190,11 @@
     const auto view = m_views.find(target);
     if (view == m_views.end() || !view->second.isKnown || view->second.isChanging)
         return;
-    // What goes wrong without it: a holder that was frozen decides on a view from before its freeze, and orders what
-    // the target already is. That "effect" shows before the order has arrived, the order is closed, and its copy comes
-    // late.
+    // A holder that resumes after a freeze must not decide on a view from before the freeze, since it could order a
+    // setting that the target already has. That setting would count as the order's effect before the order has arrived:
+    // the order would be closed, and its copy would arrive late.
     const auto lastRecord = m_orderSeenAt.find(target);
-    if (lastRecord != m_orderSeenAt.end() && view->second.askedAt <= lastRecord->second)
+    if (lastRecord != m_orderSeenAt.end() && view->second.requestedAt <= lastRecord->second)
         return;
     const auto present = view->second.settings.find(change.order.kind);
     if (present != view->second.settings.end() && present->second == change.order.value)
@@ -218,8 +219,8 @@
     const auto orderSeen = m_orderSeenAt.find(target);
     if (view == m_views.end() || orderSeen == m_orderSeenAt.end())
         return false;
-    const instant settled = orderSeen->second + m_settings.settle;
-    return now >= settled && view->second.askedAt >= settled && view->second.running == 0;
+    const instant settled = orderSeen->second + m_settings.settleDelay;
+    return now >= settled && view->second.requestedAt >= settled && view->second.running == 0;
 }
 
 bool order_system::isPending(const std::string& target, instant now) const
@@ -235,14 +236,14 @@
     if (found == m_views.end() || orderSeen == m_orderSeenAt.end())
         return false;
     const target_view& view = found->second;
-    // An answer to a question asked before the order was read may be older than the order: it proves nothing.
-    if (view.isChanging || view.askedAt <= orderSeen->second)
+    // A status that was requested before the order was read may be older than the order, so it proves nothing.
+    if (view.isChanging || view.requestedAt <= orderSeen->second)
         return false;
     const auto present = view.settings.find(open.order.kind);
     const bool hasValue = present != view.settings.end() && present->second == open.order.value;
     if (open.checksFencing)
         return hasValue && view.lastOrder >= open.last.value;
-    // A restarted target shows its starting settings, which may equal the order's without any copy having arrived.
+    // A restarted target shows its initial settings, which may equal the ordered ones although no copy has arrived.
     return hasValue && view.incarnation == open.targetIncarnation;
 }
 
@@ -251,7 +252,7 @@
     const auto found = m_incarnations.find(open.deliverer.node);
     if (found == m_incarnations.end() || found->second.first <= open.deliverer.incarnation)
         return false;
-    return now >= found->second.second + m_settings.bufferedBytesLife;
+    return now >= found->second.second + m_settings.bufferedBytesLifetime;
 }
 
 }
--- a/libs/decide/src/readiness.cpp
+++ b/libs/decide/src/readiness.cpp
@@ -1,4 +1,4 @@
-// The rule for taking new work.
+// Readiness rules.
 #include "decide/readiness.h"
 
 #include <algorithm>
@@ -18,43 +18,44 @@
 {
 }
 
-void readiness::logAnswered(bool endReached, instant now)
+void readiness::onLogResponse(bool endReached, instant now)
 {
-    m_hasLogAnswered = true;
-    m_logAnsweredAt = now;
-    m_everReadToEnd |= endReached;
+    m_hasLogResponse = true;
+    m_logResponseAt = now;
+    m_hasReadToEnd |= endReached;
 }
 
-void readiness::peerHeard(std::uint64_t version, instant now)
+void readiness::onHeartbeat(std::uint64_t version, instant now)
 {
-    m_hasHeardPeer = true;
-    m_peerHeardAt = now;
-    if (version <= m_newestHeard)
+    m_hasHeartbeat = true;
+    m_heartbeatAt = now;
+    if (version <= m_newestPeerVersion)
         return;
-    m_newestHeard = version;
-    if (m_newestHeard > m_version)
+    m_newestPeerVersion = version;
+    if (m_newestPeerVersion > m_version)
         m_behindSince = now;
 }
 
-void readiness::versionInForce(std::uint64_t version, instant) { m_version = std::max(m_version, version); }
+void readiness::setAppliedVersion(std::uint64_t version, instant) { m_version = std::max(m_version, version); }
 
 bool readiness::isLogReachable(instant now) const
 {
-    return m_hasLogAnswered && now < m_logAnsweredAt + m_settings.cutOffAfter;
+    return m_hasLogResponse && now < m_logResponseAt + m_settings.isolationTimeout;
 }
 
 readiness_state readiness::state(instant now) const
 {
     if (m_isStopping)
         return readiness_state::stopping;
-    const bool hearsPeers = m_hasHeardPeer && now < m_peerHeardAt + m_settings.cutOffAfter;
-    // During an outage of the log a fresh node takes the newest version that its peers have.
-    const bool mayTrustPeers = !isLogReachable(now) && hearsPeers && now >= m_startedAt + m_settings.behindFor;
-    if (m_version == 0 || (!m_everReadToEnd && !mayTrustPeers))
+    const bool hasRecentHeartbeat = m_hasHeartbeat && now < m_heartbeatAt + m_settings.isolationTimeout;
+    // During an outage of the log, a node that has just started accepts the newest version of its peers.
+    const bool mayTrustPeers
+        = !isLogReachable(now) && hasRecentHeartbeat && now >= m_startedAt + m_settings.maxVersionLag;
+    if (m_version == 0 || (!m_hasReadToEnd && !mayTrustPeers))
         return readiness_state::starting;
-    if (m_newestHeard > m_version && now >= m_behindSince + m_settings.behindFor)
+    if (m_newestPeerVersion > m_version && now >= m_behindSince + m_settings.maxVersionLag)
         return readiness_state::behind;
-    if (!isLogReachable(now) && !hearsPeers && m_othersKnown)
+    if (!isLogReachable(now) && !hasRecentHeartbeat && m_hasPeers)
         return readiness_state::cut_off;
     return readiness_state::ready;
 }
--- a/libs/decide/src/records.cpp
+++ b/libs/decide/src/records.cpp
@@ -1,7 +1,7 @@
-// Names of the closed lists used in records.
+// Names of the enumerations used in records, as stored in the log.
 #include "decide/records.h"
 
-#include "decide/agreed_state.h"
+#include "decide/replicated_state.h"
 
 #include <array>
 
--- a/libs/decide/src/agreed_state.cpp
+++ b/libs/decide/src/replicated_state.cpp
@@ -1,12 +1,12 @@
-// The rules of the fold.
-#include "decide/agreed_state.h"
+// The rules by which log records change the replicated state.
+#include "decide/replicated_state.h"
 
 #include "base/contract.h"
 #include "base/hash.h"
 
 namespace tamarack {
 
-verdict agreed_state::apply(const log_record& record)
+verdict replicated_state::apply(const log_record& record)
 {
     TAMARACK_ASSERT(record.offset.isValid(), "a record read from the log has an offset");
     if (record.offset < m_data.asOf)
@@ -15,35 +15,35 @@
     return std::visit([&](const auto& body) { return on(record, body); }, record.body);
 }
 
-void agreed_state::skip(log_offset offset)
+void replicated_state::skip(log_offset offset)
 {
     if (offset >= m_data.asOf)
         m_data.asOf = log_offset { offset.value + 1 };
 }
 
-void agreed_state::restore(agreed_data data) { m_data = std::move(data); }
+void replicated_state::restore(replicated_data data) { m_data = std::move(data); }
 
-const lease_state& agreed_state::lease(const std::string& name) const
+const lease_state& replicated_state::lease(const std::string& name) const
 {
     static const lease_state unclaimed;
     const auto found = m_data.leases.find(name);
     return found == m_data.leases.end() ? unclaimed : found->second;
 }
 
-const target_orders& agreed_state::orders(const std::string& target) const
+const target_orders& replicated_state::orders(const std::string& target) const
 {
     static const target_orders none;
     const auto found = m_data.orders.find(target);
     return found == m_data.orders.end() ? none : found->second;
 }
 
-bool agreed_state::holdsTerm(const std::string& name, log_offset term, const instance_id& writer) const
+bool replicated_state::holdsTerm(const std::string& name, log_offset term, const instance_id& writer) const
 {
     const lease_state& held = lease(name);
     return held.holder.isValid() && held.term == term && held.holder == writer;
 }
 
-verdict agreed_state::on(const log_record& record, const publication_record& body)
+verdict replicated_state::on(const log_record& record, const publication_record& body)
 {
     configuration_state& current = m_data.configuration;
     if (body.baseVersion != current.version)
@@ -56,7 +56,7 @@
     return verdict::valid;
 }
 
-verdict agreed_state::on(const log_record& record, const claim_record& body)
+verdict replicated_state::on(const log_record& record, const claim_record& body)
 {
     lease_state& held = m_data.leases[body.lease];
     if (held.last != body.previous)
@@ -65,7 +65,7 @@
     return verdict::valid;
 }
 
-verdict agreed_state::on(const log_record& record, const renewal_record& body)
+verdict replicated_state::on(const log_record& record, const renewal_record& body)
 {
     if (!holdsTerm(body.lease, body.term, record.origin.writer))
         return verdict::stale_term;
@@ -73,7 +73,7 @@
     return verdict::valid;
 }
 
-verdict agreed_state::on(const log_record& record, const release_record& body)
+verdict replicated_state::on(const log_record& record, const release_record& body)
 {
     if (!holdsTerm(body.lease, body.term, record.origin.writer))
         return verdict::stale_term;
@@ -83,13 +83,14 @@
     return verdict::valid;
 }
 
-verdict agreed_state::on(const log_record& record, const order_record& body)
+verdict replicated_state::on(const log_record& record, const order_record& body)
 {
     if (!holdsTerm(body.lease, body.term, record.origin.writer))
         return verdict::stale_term;
     target_orders& state = m_data.orders[body.target];
-    // Without this compare-and-set an order appended twice, after its first answer was lost, could count twice: the
-    // second copy may land when the first is long closed. The target would be told again what it has left behind.
+    // Without this compare-and-set, an order that is appended again because the answer to its first append was lost
+    // could be applied twice. The second copy may be appended after the first has been closed, and the target would
+    // receive an outdated order.
     if (state.last != body.previous)
         return verdict::stale_previous;
     const bool mayReplace = body.replacesOpen && state.checksFencing && state.order == body.order;
@@ -100,7 +101,7 @@
     return verdict::valid;
 }
 
-verdict agreed_state::on(const log_record& record, const order_end_record& body)
+verdict replicated_state::on(const log_record& record, const order_end_record& body)
 {
     const auto found = m_data.orders.find(body.target);
     if (found == m_data.orders.end() || !found->second.isOpen || found->second.last != body.order)
@@ -110,7 +111,8 @@
     const bool isDelivererOnly = body.reason == order_end::never_sent || body.reason == order_end::delivery_closed;
     if (isDelivererOnly && !isDeliverer)
         return verdict::not_entitled;
-    // "Never sent" speaks of one number only. A re-issued order's former copies may still arrive, so it stays open.
+    // never_sent refers to one fencing token only. Copies of a reissued order with lower tokens may still arrive, so
+    // the order stays open.
     if (body.reason == order_end::never_sent && found->second.isReissue)
         return verdict::not_entitled;
     const bool needsTerm = !isDelivererOnly && body.reason != order_end::operator_said;
@@ -120,6 +122,6 @@
     return verdict::valid;
 }
 
-verdict agreed_state::on(const log_record&, const snapshot_record&) { return verdict::no_effect; }
+verdict replicated_state::on(const log_record&, const snapshot_record&) { return verdict::no_effect; }
 
 }
--- a/libs/decide/src/request_table.cpp
+++ b/libs/decide/src/request_table.cpp
@@ -1,4 +1,4 @@
-// Rows of requests.
+// Allocation and reuse of request rows.
 #include "decide/request_table.h"
 
 #include "base/contract.h"
@@ -23,7 +23,7 @@
         tokensDone.push_back(0);
         startedAt.emplace_back();
         mayHaveRun.push_back(0);
-        m_uses.push_back(0);
+        m_generations.push_back(0);
     }
     const auto at = m_free.back();
     m_free.pop_back();
@@ -38,7 +38,7 @@
     prefillCharged[at] = tokensDone[at] = 0;
     mayHaveRun[at] = 0;
     startedAt[at] = {};
-    ++m_uses[at];
+    ++m_generations[at];
     ++m_held;
     return idOf(at);
 }
@@ -55,11 +55,14 @@
 std::int64_t request_table::row(request_id id) const
 {
     const auto at = static_cast<std::uint32_t>(id.value);
-    if (!id.isValid() || at >= rows() || m_uses[at] != id.value >> 32 || phase[at] == request_phase::free)
+    if (!id.isValid() || at >= rows() || m_generations[at] != id.value >> 32 || phase[at] == request_phase::free)
         return -1;
     return at;
 }
 
-request_id request_table::idOf(std::size_t at) const { return { static_cast<std::uint64_t>(m_uses[at]) << 32 | at }; }
+request_id request_table::idOf(std::size_t at) const
+{
+    return { static_cast<std::uint64_t>(m_generations[at]) << 32 | at };
+}
 
 }
--- a/libs/decide/src/role_planner.cpp
+++ b/libs/decide/src/role_planner.cpp
@@ -1,4 +1,4 @@
-// Role changes.
+// Demand forecast and choice of role changes.
 #include "decide/role_planner.h"
 
 #include <algorithm>
@@ -8,15 +8,15 @@
 
 namespace {
 
-    constexpr double levelSeconds = 5; // time constant of the demand's average
-    constexpr double trendSeconds = 20;
-    constexpr double lookAheadSeconds = 10;
-    constexpr double settleSeconds = 2; // the need of a change must last this long
-    // What an engine gets done of the other role's work, against one of that role (stand-in engines, tools/bench).
+    constexpr double levelSeconds = 5; // time constant of the demand level
+    constexpr double trendSeconds = 20; // time constant of the demand trend
+    constexpr double lookAheadSeconds = 10; // forecast horizon
+    constexpr double minDirectionSeconds = 2; // hysteresis: the same change must be indicated for this long
+    // Throughput of an idle engine on work of the other role, relative to an engine of that role.
     constexpr double decodeRolePrefillShare = 0.3;
     constexpr double prefillRoleDecodeShare = 0.15;
 
-    double shareFor(double elapsed, double constant) { return 1 - std::exp(-elapsed / constant); }
+    double smoothingFactor(double elapsed, double constant) { return 1 - std::exp(-elapsed / constant); }
 
 }
 
@@ -26,7 +26,7 @@
 {
 }
 
-double role_planner::served(const role_split& split, const role_demand& demand)
+double role_planner::servedDemand(const role_split& split, const role_demand& demand)
 {
     double prefillLeft = std::max(0.0, demand.prefillEngines - split.prefill);
     double decodeLeft = std::max(0.0, demand.decodeEngines - split.decode);
@@ -34,28 +34,28 @@
     const double idleDecode = std::max(0.0, split.decode - demand.decodeEngines);
     const double left = prefillLeft + decodeLeft;
     if (left > 0) {
-        const double byMixed = std::min(1.0, split.mixed / left);
-        prefillLeft -= byMixed * prefillLeft;
-        decodeLeft -= byMixed * decodeLeft;
+        const double mixedShare = std::min(1.0, split.mixed / left);
+        prefillLeft -= mixedShare * prefillLeft;
+        decodeLeft -= mixedShare * decodeLeft;
     }
     prefillLeft = std::max(0.0, prefillLeft - decodeRolePrefillShare * idleDecode);
     decodeLeft = std::max(0.0, decodeLeft - prefillRoleDecodeShare * idlePrefill);
-    // Requests need both halves, so the scarcer one bounds all of them.
+    // Each request needs both prefill and decode, so the scarcer of the two limits the total.
     const double prefillShare = demand.prefillEngines > 0 ? 1 - prefillLeft / demand.prefillEngines : 1;
     const double decodeShare = demand.decodeEngines > 0 ? 1 - decodeLeft / demand.decodeEngines : 1;
     return std::min(prefillShare, decodeShare) * (demand.prefillEngines + demand.decodeEngines);
 }
 
-void role_planner::follow(smoothed& value, double sample, double elapsed) const
+void role_planner::updateSmoothed(smoothed& value, double sample, double elapsed) const
 {
     if (!value.isSet) {
         value = { sample, 0, true };
         return;
     }
     const double former = value.level;
-    value.level += shareFor(elapsed, levelSeconds) * (sample - value.level);
+    value.level += smoothingFactor(elapsed, levelSeconds) * (sample - value.level);
     if (elapsed > 0)
-        value.trend += shareFor(elapsed, trendSeconds) * ((value.level - former) / elapsed - value.trend);
+        value.trend += smoothingFactor(elapsed, trendSeconds) * ((value.level - former) / elapsed - value.trend);
 }
 
 role_demand role_planner::forecast() const
@@ -65,15 +65,15 @@
     return { ahead(m_prefill), ahead(m_decode), 0 };
 }
 
-bool role_planner::dwelled(const std::string& name, instant now) const
+bool role_planner::hasDwelled(const std::string& name, instant now) const
 {
     const auto found = m_changedAt.find(name);
     return found == m_changedAt.end() || now >= found->second + fromSeconds(m_policy.roleDwell);
 }
 
-bool role_planner::leavesZoneCover(const std::vector<planned_engine>& engines, const planned_engine& moved) const
+bool role_planner::keepsZoneRedundancy(const std::vector<planned_engine>& engines, const planned_engine& moved) const
 {
-    // After the change, the loss of any one zone must still leave an engine of the role that gives one up.
+    // After the change, the loss of any one zone must leave at least one engine of the role that is reduced.
     std::map<std::string, int> byZone;
     int total = 0;
     for (const auto& engine : engines) {
@@ -86,10 +86,10 @@
         && total >= 1;
 }
 
-const planned_engine* role_planner::choose(
+const planned_engine* role_planner::chooseEngine(
     const std::vector<planned_engine>& engines, engine_role from, instant now) const
 {
-    const bool isCareful = m_rule == planning_rule::gain_over_horizon;
+    const bool weighsGain = m_rule == planning_rule::gain_over_horizon;
     std::map<std::string, int> perZone;
     for (const auto& engine : engines)
         perZone[engine.availabilityZone] += engine.role == from ? 1 : 0;
@@ -97,9 +97,9 @@
     for (const auto& engine : engines) {
         if (engine.role != from || !engine.isAvailable || engine.isChanging)
             continue;
-        if (isCareful && (!dwelled(engine.name, now) || !leavesZoneCover(engines, engine)))
+        if (weighsGain && (!hasDwelled(engine.name, now) || !keepsZoneRedundancy(engines, engine)))
             continue;
-        // Take it from the zone that has most, so that roles stay spread.
+        // Takes the engine from the zone with the most engines of the role, so that roles stay spread over the zones.
         if (!best || perZone[engine.availabilityZone] > perZone[best->availabilityZone])
             best = &engine;
     }
@@ -112,8 +112,8 @@
     const double elapsed = m_hasPlanned ? seconds(now - m_lastPlan) : 0;
     m_lastPlan = now;
     m_hasPlanned = true;
-    follow(m_prefill, demand.prefillEngines, elapsed);
-    follow(m_decode, demand.decodeEngines, elapsed);
+    updateSmoothed(m_prefill, demand.prefillEngines, elapsed);
+    updateSmoothed(m_decode, demand.decodeEngines, elapsed);
     if (m_rule == planning_rule::fixed)
         return std::nullopt;
 
@@ -128,32 +128,36 @@
     if (isChanging || split.prefill == 0 || split.decode == 0)
         return std::nullopt;
 
-    const bool isCareful = m_rule == planning_rule::gain_over_horizon;
-    const role_demand expected = isCareful ? forecast() : demand;
-    const double now0 = served(split, expected);
+    const bool weighsGain = m_rule == planning_rule::gain_over_horizon;
+    const role_demand expected = weighsGain ? forecast() : demand;
+    const double currentlyServed = servedDemand(split, expected);
     const role_split towardsPrefill { split.prefill + 1, split.decode - 1, split.mixed };
     const role_split towardsDecode { split.prefill - 1, split.decode + 1, split.mixed };
-    const double more = split.decode > 1 ? served(towardsPrefill, expected) : 0;
-    const double fewer = split.prefill > 1 ? served(towardsDecode, expected) : 0;
-    const int direction = more > now0 && more >= fewer ? 1 : fewer > now0 ? -1 : 0;
-    if (direction != m_pressure) {
-        m_pressure = direction;
-        m_pressureSince = now;
+    const double servedWithMorePrefill = split.decode > 1 ? servedDemand(towardsPrefill, expected) : 0;
+    const double servedWithMoreDecode = split.prefill > 1 ? servedDemand(towardsDecode, expected) : 0;
+    const int direction = servedWithMorePrefill > currentlyServed && servedWithMorePrefill >= servedWithMoreDecode ? 1
+        : servedWithMoreDecode > currentlyServed                                                                   ? -1
+                                                                                                                   : 0;
+    if (direction != m_desiredDirection) {
+        m_desiredDirection = direction;
+        m_directionSince = now;
     }
     if (direction == 0)
         return std::nullopt;
-    if (isCareful) {
-        // The model above knows neither cached prefixes nor how well routing copes; what was refused does.
+    if (weighsGain) {
+        // servedDemand() accounts neither for cached prefixes nor for how well routing absorbs the load, whereas the
+        // refused demand reflects both.
         const double total = demand.prefillEngines + demand.decodeEngines;
         if (demand.refusedEngines < m_policy.roleShortfall * total)
             return std::nullopt;
-        const double gain = (std::max(more, fewer) - now0) * m_policy.roleHorizon;
+        const double gain
+            = (std::max(servedWithMorePrefill, servedWithMoreDecode) - currentlyServed) * m_policy.roleHorizon;
         const double loss = m_policy.roleChangeSeconds * m_policy.roleChangeWeight;
-        if (gain <= loss || now < m_pressureSince + fromSeconds(settleSeconds))
+        if (gain <= loss || now < m_directionSince + fromSeconds(minDirectionSeconds))
             return std::nullopt;
     }
     const auto from = direction > 0 ? engine_role::decode : engine_role::prefill;
-    const planned_engine* engine = choose(engines, from, now);
+    const planned_engine* engine = chooseEngine(engines, from, now);
     if (!engine)
         return std::nullopt;
     m_changedAt[engine->name] = now;
--- a/libs/decide/src/target_table.cpp
+++ b/libs/decide/src/target_table.cpp
@@ -1,4 +1,4 @@
-// Rows of targets, and what their load is thought to be.
+// Target rows and load estimates.
 #include "decide/target_table.h"
 
 #include "base/contract.h"
@@ -10,7 +10,7 @@
 namespace tamarack {
 
 namespace {
-    /// Others' work in a report of this age counts half.
+    /// Half-life in seconds of other nodes' load in a report.
     constexpr double reportHalfLife = 2.0;
 }
 
@@ -48,19 +48,19 @@
         row = -1;
     m_byName.clear();
     m_byHash.clear();
-    // Rows of targets that stay are marked first, so that a new target cannot be given one of them.
+    // Rows of remaining targets are marked first, so that none of them is reused for a new target.
     for (std::size_t s = 0; s < config.services.size(); ++s) {
         for (const auto& entry : config.services[s].targets) {
-            if (const auto kept = former.find(entry.name); kept != former.end())
-                service[kept->second] = static_cast<std::int32_t>(s);
+            if (const auto existing = former.find(entry.name); existing != former.end())
+                service[existing->second] = static_cast<std::int32_t>(s);
         }
     }
     for (std::size_t s = 0; s < config.services.size(); ++s) {
         for (const auto& entry : config.services[s].targets) {
-            const auto kept = former.find(entry.name);
-            const target_id id = kept != former.end() ? target_id { kept->second } : addRow();
+            const auto existing = former.find(entry.name);
+            const target_id id = existing != former.end() ? target_id { existing->second } : addRow();
             const auto row = id.value;
-            if (kept == former.end() || address[row] != entry.address) {
+            if (existing == former.end() || address[row] != entry.address) {
                 role[row] = engine_role::mixed;
                 isChanging[row] = isDraining[row] = isLeaving[row] = 0;
                 blockedUntil[row] = slowStartUntil[row] = {};
@@ -110,8 +110,8 @@
 {
     const auto row = id.value;
     const auto others = std::max<std::int64_t>(0, reported[row].prefillTokens - ownPrefillAtReport[row]);
-    const double mine = static_cast<double>(ownPrefillTokens[row]);
-    return mine + static_cast<double>(others) * discount(reported[row].measuredAt, now);
+    const double own = static_cast<double>(ownPrefillTokens[row]);
+    return own + static_cast<double>(others) * discount(reported[row].measuredAt, now);
 }
 
 void target_table::report(target_id id, const load_report& load)
@@ -125,7 +125,7 @@
     ownPrefillAtReport[row] = ownPrefillTokens[row];
 }
 
-bool target_table::takesWork(target_id id, instant now) const
+bool target_table::acceptsRequests(target_id id, instant now) const
 {
     const auto row = id.value;
     if (service[row] < 0 || isLeaving[row] || isChanging[row] || isDraining[row])
--- a/libs/decide/src/traffic_dispatch.cpp
+++ b/libs/decide/src/traffic_dispatch.cpp
@@ -1,4 +1,4 @@
-// Places requests at targets, and keeps those that wait in order.
+// Starts requests at targets and maintains the queues of waiting requests.
 #include "decide/traffic_system.h"
 
 #include <array>
@@ -8,10 +8,10 @@
 
 namespace {
 
-    constexpr double transferSeconds = 0.03; // to move a KV cache between engines
-    constexpr double noDecodeSlotSeconds = 2; // usual wait when no decode engine has a slot
-    constexpr std::int64_t smallPromptParts = 8; // of a piece
-    constexpr double agedShare = 0.5; // of the deadline spent waiting
+    constexpr double kvTransferSeconds = 0.03; // time to transfer a KV cache between engines
+    constexpr double assumedDecodeWaitSeconds = 2; // typical wait when no decode engine has a free slot
+    constexpr std::int64_t smallPromptsPerPiece = 8; // a prompt is small if this many of it fit in a piece
+    constexpr double agingShare = 0.5; // share of the deadline after which a waiting request counts as aged
 
     int priorityOf(const request_shape& shape)
     {
@@ -24,25 +24,25 @@
 
 }
 
-std::size_t traffic_system::levelOf(const request_shape& shape)
+std::size_t traffic_system::queueLevel(const request_shape& shape)
 {
     if (shape.depth > 0)
         return 0;
     return shape.isUrgent ? 1 : 2;
 }
 
-routing_need traffic_system::needOf(std::size_t row, instant now) const
+routing_request traffic_system::routingRequestFor(std::size_t row, instant now) const
 {
     const auto& shape = m_requests.shape[row];
     const double waited = seconds(now - m_requests.arrivedAt[row]);
-    return { shape, m_requests.stage[row], m_requests.avoid[row], waited > agedShare * seconds(shape.deadline) };
+    return { shape, m_requests.stage[row], m_requests.avoid[row], waited > agingShare * seconds(shape.deadline) };
 }
 
 routing_choice traffic_system::route(std::size_t row, request_stage stage, role_set roles, instant now)
 {
-    routing_need need = needOf(row, now);
-    need.stage = stage;
-    return m_router.pick(need, roles, *m_config, m_targets, now);
+    routing_request request = routingRequestFor(row, now);
+    request.stage = stage;
+    return m_router.pick(request, roles, *m_config, m_targets, now);
 }
 
 bool traffic_system::tryStart(std::size_t row, instant now, traffic_commands& out)
@@ -52,39 +52,39 @@
         return startAt(row, request_stage::whole, route(row, request_stage::whole, role_set::all(), now), now, out);
     if (m_requests.stage[row] == request_stage::decode)
         return startDecode(row, now, out);
-    // Two engines and a transfer are not worth it for a prompt that is read in a part of one step.
-    const bool isSmall = m_requests.shape[row].promptTokens * smallPromptParts <= entry.pieceTokens;
+    // For a prompt whose prefill takes only part of one step, a second engine and a KV cache transfer do not pay off.
+    const bool isSmall = m_requests.shape[row].promptTokens * smallPromptsPerPiece <= entry.pieceTokens;
     if (isSmall) {
-        const role_set smooth { engine_role::decode, engine_role::mixed };
-        if (startAt(row, request_stage::whole, route(row, request_stage::whole, smooth, now), now, out))
+        const role_set decodeRoles { engine_role::decode, engine_role::mixed };
+        if (startAt(row, request_stage::whole, route(row, request_stage::whole, decodeRoles, now), now, out))
             return true;
-    } else if (startLong(row, now, out)) {
+    } else if (startLongPrompt(row, now, out)) {
         return true;
     }
-    // Any engine can run the whole request, if less evenly. Without this a shift of the mix leaves a part of the fleet
-    // idle until roles have changed.
+    // Any engine can execute the whole request, if with less even token intervals. Without this fallback a change in
+    // the workload mix would leave part of the fleet idle until roles have changed.
     return startAt(row, request_stage::whole, route(row, request_stage::whole, role_set::all(), now), now, out);
 }
 
-// A long prompt goes through a prefill and a decode engine, or whole to a mixed one, whichever is expected to end
-// sooner.
-bool traffic_system::startLong(std::size_t row, instant now, traffic_commands& out)
+// A long prompt is executed by a prefill engine and a decode engine, or as a whole by a mixed engine, whichever is
+// expected to complete sooner.
+bool traffic_system::startLongPrompt(std::size_t row, instant now, traffic_commands& out)
 {
     const auto prefill = route(row, request_stage::prefill, { engine_role::prefill }, now);
     const auto whole = route(row, request_stage::whole, { engine_role::mixed }, now);
     if (!prefill.target.isValid())
         return startAt(row, request_stage::whole, whole, now, out);
     const auto decode = route(row, request_stage::decode, { engine_role::decode, engine_role::mixed }, now);
-    const double decodeSeconds = decode.target.isValid() ? decode.seconds : noDecodeSlotSeconds;
-    if (whole.target.isValid() && whole.seconds < prefill.seconds + decodeSeconds + transferSeconds)
+    const double decodeSeconds = decode.target.isValid() ? decode.seconds : assumedDecodeWaitSeconds;
+    if (whole.target.isValid() && whole.seconds < prefill.seconds + decodeSeconds + kvTransferSeconds)
         return startAt(row, request_stage::whole, whole, now, out);
     return startAt(row, request_stage::prefill, prefill, now, out);
 }
 
 bool traffic_system::startDecode(std::size_t row, instant now, traffic_commands& out)
 {
-    const role_set smooth { engine_role::decode, engine_role::mixed };
-    const auto choice = route(row, request_stage::decode, smooth, now);
+    const role_set decodeRoles { engine_role::decode, engine_role::mixed };
+    const auto choice = route(row, request_stage::decode, decodeRoles, now);
     if (choice.target.isValid())
         return startAt(row, request_stage::decode, choice, now, out);
     return startAt(row, request_stage::decode, route(row, request_stage::decode, role_set::all(), now), now, out);
@@ -119,7 +119,7 @@
     const auto& shape = m_requests.shape[row];
     auto& queues = m_queues[shape.service.value];
     const bool isDecode = m_requests.stage[row] == request_stage::decode;
-    auto& queue = (isDecode ? queues.decode : queues.first)[levelOf(shape)];
+    auto& queue = (isDecode ? queues.decode : queues.first)[queueLevel(shape)];
     if (atFront)
         queue.push_front(m_requests.idOf(row));
     else
@@ -128,22 +128,23 @@
 
 bool traffic_system::isWaiting(request_id id) const
 {
-    const auto row = m_requests.row(id); // below 0 for a request abandoned while it waited
+    const auto row = m_requests.row(id); // negative if the caller disconnected while the request was queued
     return row >= 0 && m_requests.phase[static_cast<std::size_t>(row)] == request_phase::waiting;
 }
 
-bool traffic_system::isHopeless(std::size_t row, instant now) const
+bool traffic_system::willMissDeadline(std::size_t row, instant now) const
 {
     return now + serviceTime(m_requests.shape[row]) > m_requests.deadlineAt[row];
 }
 
-// Starting what cannot be in time any more would take the place of what still can.
+// A request that can no longer meet its deadline is not started, since it would occupy a slot that another request
+// could still use in time.
 bool traffic_system::startOrRefuse(std::size_t row, instant now, traffic_commands& out)
 {
-    if (!isHopeless(row, now))
+    if (!willMissDeadline(row, now))
         return tryStart(row, now, out);
     const auto& shape = m_requests.shape[row];
-    refuse(row, error_kind::deadline_unreachable, expectedWait(shape.service, levelOf(shape)), out);
+    refuse(row, error_kind::deadline_unreachable, expectedWait(shape.service, queueLevel(shape)), out);
     return true;
 }
 
@@ -162,30 +163,30 @@
     }
 }
 
-void traffic_system::sweep(std::deque<request_id>& level, instant now, traffic_commands& out)
+void traffic_system::refuseUnmeetable(std::deque<request_id>& level, instant now, traffic_commands& out)
 {
-    std::deque<request_id> kept;
+    std::deque<request_id> remaining;
     for (const auto id : level) {
         if (!isWaiting(id))
             continue;
         const auto row = static_cast<std::size_t>(m_requests.row(id));
         const auto& shape = m_requests.shape[row];
-        if (isHopeless(row, now))
-            refuse(row, error_kind::deadline_unreachable, expectedWait(shape.service, levelOf(shape)), out);
+        if (willMissDeadline(row, now))
+            refuse(row, error_kind::deadline_unreachable, expectedWait(shape.service, queueLevel(shape)), out);
         else
-            kept.push_back(id);
+            remaining.push_back(id);
     }
-    level.swap(kept);
+    level.swap(remaining);
 }
 
 void traffic_system::tick(instant now, traffic_commands& out)
 {
     for (std::uint32_t s = 0; s < m_queues.size(); ++s) {
-        bool comesBackSoon = false;
-        m_slotsNow[s] = usableSlots({ s }, now, comesBackSoon);
+        bool recoversSoon = false;
+        m_slotsNow[s] = usableSlots({ s }, now, recoversSoon);
         for (auto* queue : { &m_queues[s].decode, &m_queues[s].first }) {
             for (auto& level : *queue)
-                sweep(level, now, out);
+                refuseUnmeetable(level, now, out);
         }
         dispatch({ s }, now, out);
     }
--- a/libs/decide/src/traffic_estimates.cpp
+++ b/libs/decide/src/traffic_estimates.cpp
@@ -1,4 +1,4 @@
-// What the request path expects: times, waits, demand.
+// Estimates of execution times, queueing times and demand.
 #include "decide/traffic_system.h"
 
 #include <algorithm>
@@ -8,7 +8,7 @@
 
 namespace {
 
-    constexpr double demandSeconds = 10; // averaging time of the demand meter
+    constexpr double demandSeconds = 10; // time constant of the demand average
 
 }
 
@@ -19,7 +19,7 @@
         return fromSeconds(service.requestSeconds);
     const double prefill = static_cast<double>(shape.promptTokens) / service.prefillTokensPerSecond;
     const double output = static_cast<double>(shape.outputTokens) * m_outputShare[shape.service.value];
-    return fromSeconds((prefill + output * service.tokenInterval) * m_pace[shape.service.value]);
+    return fromSeconds((prefill + output * service.tokenInterval) * m_slowdown[shape.service.value]);
 }
 
 duration traffic_system::expectedWait(service_id service, std::size_t level) const
@@ -28,7 +28,7 @@
     double ahead = 0;
     for (std::size_t i = 0; i <= level; ++i) {
         for (const auto id : queue.first[i]) {
-            const auto row = m_requests.row(id); // below 0 for a request abandoned while it waited
+            const auto row = m_requests.row(id); // negative if the caller disconnected while the request was queued
             if (row >= 0)
                 ahead += seconds(serviceTime(m_requests.shape[static_cast<std::size_t>(row)]));
         }
@@ -37,31 +37,31 @@
     return fromSeconds(ahead / slots);
 }
 
-int traffic_system::usableSlots(service_id service, instant now, bool& comesBackSoon) const
+int traffic_system::usableSlots(service_id service, instant now, bool& recoversSoon) const
 {
     const auto& entry = m_config->services[service.value];
     int slots = 0;
-    comesBackSoon = false;
+    recoversSoon = false;
     for (const auto row : m_router.subset(service)) {
-        if (m_targets.takesWork({ row }, now)) {
-            const bool holdsDecodes = m_targets.role[row] != engine_role::prefill;
-            slots += holdsDecodes ? entry.slots : 1;
+        if (m_targets.acceptsRequests({ row }, now)) {
+            const bool runsDecode = m_targets.role[row] != engine_role::prefill;
+            slots += runsDecode ? entry.slots : 1;
         } else if (!m_targets.isLeaving[row]) {
-            comesBackSoon = true; // changing, draining, or blocked after a failure
+            recoversSoon = true; // changing, draining, or blocked after a failure
         }
     }
     return slots;
 }
 
-void traffic_system::meter(const request_shape& shape, instant now)
+void traffic_system::recordDemand(const request_shape& shape, instant now)
 {
     auto& meter = m_demand[shape.service.value];
-    const double kept = std::exp(-seconds(now - meter.at) / demandSeconds);
-    meter.promptTokens = meter.promptTokens * kept + static_cast<double>(shape.promptTokens);
+    const double decay = std::exp(-seconds(now - meter.at) / demandSeconds);
+    meter.promptTokens = meter.promptTokens * decay + static_cast<double>(shape.promptTokens);
     meter.outputTokens
-        = meter.outputTokens * kept + static_cast<double>(shape.outputTokens) * m_outputShare[shape.service.value];
-    meter.asked = meter.asked * kept + seconds(serviceTime(shape));
-    meter.refused *= kept;
+        = meter.outputTokens * decay + static_cast<double>(shape.outputTokens) * m_outputShare[shape.service.value];
+    meter.asked = meter.asked * decay + seconds(serviceTime(shape));
+    meter.refused *= decay;
     meter.at = now;
 }
 
@@ -70,12 +70,12 @@
     if (service.value >= m_demand.size())
         return {};
     const auto& meter = m_demand[service.value];
-    const double kept = std::exp(-seconds(now - meter.at) / demandSeconds) / demandSeconds;
+    const double decay = std::exp(-seconds(now - meter.at) / demandSeconds) / demandSeconds;
     const double refusedShare = meter.asked > 0 ? std::min(1.0, meter.refused / meter.asked) : 0;
-    return { meter.promptTokens * kept, meter.outputTokens * kept, refusedShare };
+    return { meter.promptTokens * decay, meter.outputTokens * decay, refusedShare };
 }
 
-void traffic_system::learnPace(std::size_t row, instant now)
+void traffic_system::updateSlowdown(std::size_t row, instant now)
 {
     constexpr double weight = 0.05;
     constexpr double highest = 20;
@@ -84,10 +84,10 @@
     const double ideal = static_cast<double>(shape.promptTokens) / service.prefillTokensPerSecond
         + static_cast<double>(m_requests.tokensDone[row]) * service.tokenInterval;
     if (ideal <= 0 || shape.isUrgent || shape.depth > 0)
-        return; // these overtake others and say little about them
+        return; // these overtake other requests, so their times are not representative
     const double ratio = std::clamp(seconds(now - m_requests.startedAt[row]) / ideal, 1.0, highest);
-    double& pace = m_pace[shape.service.value];
-    pace += weight * (ratio - pace);
+    double& slowdown = m_slowdown[shape.service.value];
+    slowdown += weight * (ratio - slowdown);
 }
 
 }
--- a/libs/decide/src/traffic_system.cpp
+++ b/libs/decide/src/traffic_system.cpp
@@ -1,4 +1,4 @@
-// The request path's decisions.
+// Admission, retries and completion of requests.
 #include "decide/traffic_system.h"
 
 #include "base/contract.h"
@@ -18,7 +18,7 @@
     constexpr std::int32_t maxAttempts = 4;
     constexpr duration shortestRetryAfter = 200ms;
     constexpr duration longestRetryAfter = 30s;
-    constexpr duration firstBlock = 500ms;
+    constexpr duration initialBlock = 500ms;
     constexpr duration longestBlock = 8s;
     constexpr double outputShareWeight = 0.02;
     constexpr double firstOutputShare = 0.6;
@@ -43,38 +43,38 @@
     m_queues.assign(count, {});
     m_budgets.assign(count, retry_budget(m_config->policy.retryBudget, retryReserve));
     const auto formerShare = std::exchange(m_outputShare, std::vector<double>(count, firstOutputShare));
-    const auto formerPace = std::exchange(m_pace, std::vector<double>(count, 1.0));
+    const auto formerSlowdown = std::exchange(m_slowdown, std::vector<double>(count, 1.0));
     const auto formerDemand = std::exchange(m_demand, std::vector<demand_meter>(count));
     for (std::size_t s = 0; s < count; ++s) {
-        const int kept = former->serviceIndex(m_config->services[s].name);
-        if (kept < 0)
+        const int formerIndex = former->serviceIndex(m_config->services[s].name);
+        if (formerIndex < 0)
             continue;
-        m_outputShare[s] = formerShare[static_cast<std::size_t>(kept)];
-        m_pace[s] = formerPace[static_cast<std::size_t>(kept)];
-        m_demand[s] = formerDemand[static_cast<std::size_t>(kept)];
+        m_outputShare[s] = formerShare[static_cast<std::size_t>(formerIndex)];
+        m_slowdown[s] = formerSlowdown[static_cast<std::size_t>(formerIndex)];
+        m_demand[s] = formerDemand[static_cast<std::size_t>(formerIndex)];
     }
     m_slotsNow.assign(count, 0);
     for (std::size_t row = 0; row < m_requests.rows(); ++row) {
-        // A request whose service went with an earlier change has none to be moved from.
+        // A request whose service was removed by an earlier change has no service to carry over.
         if (m_requests.phase[row] == request_phase::free || !m_requests.shape[row].service.isValid())
             continue;
         const auto& name = former->services[m_requests.shape[row].service.value].name;
-        const int moved = m_config->serviceIndex(name);
+        const int newIndex = m_config->serviceIndex(name);
         const bool isWaiting = m_requests.phase[row] == request_phase::waiting;
-        if (moved >= 0)
-            m_requests.shape[row].service = { static_cast<std::uint32_t>(moved) };
-        if (moved >= 0 && isWaiting)
+        if (newIndex >= 0)
+            m_requests.shape[row].service = { static_cast<std::uint32_t>(newIndex) };
+        if (newIndex >= 0 && isWaiting)
             enqueue(row, false);
-        // A running request of a removed service ends as it would have; only its row's service is unknown from now on.
-        if (moved < 0 && isWaiting)
+        // A running request of a removed service continues; only the service in its row becomes invalid.
+        if (newIndex < 0 && isWaiting)
             refuse(row, error_kind::unknown_service, duration::zero(), out);
-        if (moved < 0 && !isWaiting)
+        if (newIndex < 0 && !isWaiting)
             m_requests.shape[row].service = {};
     }
     tick(now, out);
 }
 
-request_id traffic_system::arrive(const request_shape& given, instant now, traffic_commands& out)
+request_id traffic_system::admit(const request_shape& given, instant now, traffic_commands& out)
 {
     request_shape shape = given;
     TAMARACK_ASSERT(shape.service.value < m_queues.size(), "the service is in the configuration in force");
@@ -87,26 +87,27 @@
         refuse(row, error_kind::overloaded, shortestRetryAfter, out);
         return id;
     }
-    // A nested call belongs to an outer one that was let through already; refusing it would waste the outer's work.
+    // A nested call belongs to an outer call that was admitted already; refusing it would waste the work of the outer
+    // call.
     const duration wait = shape.depth > 0 ? duration::zero() : m_accounts.take(shape.account, now);
     if (wait > duration::zero()) {
         refuse(row, error_kind::account_limit, wait, out);
         return id;
     }
-    meter(shape, now);
-    const std::size_t level = levelOf(shape);
+    recordDemand(shape, now);
+    const std::size_t level = queueLevel(shape);
     auto& queue = m_queues[shape.service.value];
-    bool othersWait = false;
+    bool hasWaitingAhead = false;
     for (std::size_t i = 0; i <= level; ++i)
-        othersWait |= !queue.first[i].empty();
-    if (!othersWait && tryStart(row, now, out)) {
+        hasWaitingAhead |= !queue.first[i].empty();
+    if (!hasWaitingAhead && tryStart(row, now, out)) {
         ++m_counts.accepted;
         return id;
     }
-    bool comesBackSoon = false;
-    const int slots = usableSlots(shape.service, now, comesBackSoon);
+    bool recoversSoon = false;
+    const int slots = usableSlots(shape.service, now, recoversSoon);
     m_slotsNow[shape.service.value] = slots;
-    if (slots == 0 && !comesBackSoon) {
+    if (slots == 0 && !recoversSoon) {
         refuse(row, error_kind::no_target, answerFor(error_kind::no_target).retryAfter, out);
         return id;
     }
@@ -120,7 +121,7 @@
     return id;
 }
 
-void traffic_system::uncharge(std::size_t row)
+void traffic_system::releaseTargetLoad(std::size_t row)
 {
     if (m_requests.phase[row] != request_phase::running)
         return;
@@ -132,7 +133,7 @@
     TAMARACK_ASSERT(m_targets.ownRunning[target] >= 0, "own work is counted once up and once down");
 }
 
-void traffic_system::prefilled(request_id request, attempt_id attempt)
+void traffic_system::onPrefillDone(request_id request, attempt_id attempt)
 {
     if (!isCurrent(request, attempt))
         return;
@@ -141,14 +142,14 @@
     m_requests.prefillCharged[row] = 0;
 }
 
-void traffic_system::progressed(request_id request, attempt_id attempt, std::int64_t tokens)
+void traffic_system::onTokens(request_id request, attempt_id attempt, std::int64_t tokens)
 {
     if (!isCurrent(request, attempt))
         return;
     m_requests.tokensDone[static_cast<std::size_t>(m_requests.row(request))] += tokens;
 }
 
-void traffic_system::answeredWhole(request_id request, attempt_id attempt)
+void traffic_system::onWholeAnswer(request_id request, attempt_id attempt)
 {
     if (isCurrent(request, attempt))
         m_requests.stage[static_cast<std::size_t>(m_requests.row(request))] = request_stage::whole;
@@ -162,9 +163,9 @@
 
 void traffic_system::refuse(std::size_t row, error_kind kind, duration retryAfter, traffic_commands& out)
 {
-    uncharge(row);
+    releaseTargetLoad(row);
     ++m_counts.refused;
-    // A target may have worked on it, so an answer that promises "not run" would not be true any more.
+    // If a target may have executed the request, an error kind that promises "not run" would be false.
     if (m_requests.mayHaveRun[row] && answerFor(kind).executed == ran::no)
         kind = m_requests.tokensDone[row] > 0 ? error_kind::answer_cut : error_kind::attempt_timeout;
     const auto service = m_requests.shape[row].service;
@@ -182,7 +183,7 @@
 {
     const auto row = id.value;
     const int shift = std::min(m_targets.failures[row], 4);
-    const duration block = std::min<duration>(firstBlock * (1 << shift), longestBlock);
+    const duration block = std::min<duration>(initialBlock * (1 << shift), longestBlock);
     m_targets.blockedUntil[row] = now + block;
     ++m_targets.failures[row];
 }
@@ -192,12 +193,13 @@
 {
     const auto service = m_requests.shape[row].service;
     m_requests.avoid[row] = m_requests.target[row];
-    uncharge(row);
+    releaseTargetLoad(row);
     m_requests.phase[row] = request_phase::waiting;
-    const bool isGone = !service.isValid();
-    const bool isLate = now >= m_requests.deadlineAt[row];
-    const bool isWorn = m_requests.attempts[row] >= maxAttempts;
-    if (isGone || isLate || isWorn || (countsAgainstBudget && !m_budgets[service.value].spend()))
+    const bool isServiceRemoved = !service.isValid();
+    const bool isPastDeadline = now >= m_requests.deadlineAt[row];
+    const bool hasUsedAllAttempts = m_requests.attempts[row] >= maxAttempts;
+    if (isServiceRemoved || isPastDeadline || hasUsedAllAttempts
+        || (countsAgainstBudget && !m_budgets[service.value].spend()))
         return refuse(row, kind, duration::zero(), out);
     ++m_counts.retried;
     if (!tryStart(row, now, out))
@@ -210,7 +212,7 @@
     const auto target = m_requests.target[row];
     m_targets.failures[target.value] = 0;
     if (m_requests.stage[row] == request_stage::prefill) {
-        uncharge(row);
+        releaseTargetLoad(row);
         m_requests.kvSource[row] = target;
         m_requests.mayHaveRun[row] = 1;
         m_requests.stage[row] = request_stage::decode;
@@ -225,33 +227,33 @@
     if (shape.service.isValid()) {
         m_budgets[shape.service.value].succeeded();
         if (shape.outputTokens > 0) {
-            learnPace(row, now);
+            updateSlowdown(row, now);
             const double share
                 = static_cast<double>(m_requests.tokensDone[row]) / static_cast<double>(shape.outputTokens);
             auto& average = m_outputShare[shape.service.value];
             average += outputShareWeight * (std::clamp(share, 0.05, 1.0) - average);
         }
     }
-    uncharge(row);
+    releaseTargetLoad(row);
     ++m_counts.answered;
     m_requests.remove(m_requests.idOf(row));
 }
 
-void traffic_system::ended(
+void traffic_system::onAttemptEnded(
     request_id request, attempt_id attempt, attempt_result result, instant now, traffic_commands& out)
 {
     if (!isCurrent(request, attempt)) {
-        ++m_counts.lateEvents;
+        ++m_counts.staleEvents;
         return;
     }
     const auto row = static_cast<std::size_t>(m_requests.row(request));
     const auto service = m_requests.shape[row].service;
-    settle(row, result, now, out);
+    handleAttemptResult(row, result, now, out);
     if (service.isValid())
-        dispatch(service, now, out); // a place may have become free
+        dispatch(service, now, out); // a slot may have become free
 }
 
-void traffic_system::settle(std::size_t row, attempt_result result, instant now, traffic_commands& out)
+void traffic_system::handleAttemptResult(std::size_t row, attempt_result result, instant now, traffic_commands& out)
 {
     const bool isIdempotent = m_requests.shape[row].isIdempotent;
     switch (result) {
@@ -261,8 +263,8 @@
         targetFailed(m_requests.target[row], now);
         return retryOrRefuse(row, error_kind::target_unreachable, true, now, out);
     case attempt_result::refused:
-        // Full, draining or stopping: no failure of the target, but it should not be asked again at once.
-        m_targets.blockedUntil[m_requests.target[row].value] = now + firstBlock;
+        // The target is full, draining or stopping. That is no failure, but it should not be retried immediately.
+        m_targets.blockedUntil[m_requests.target[row].value] = now + initialBlock;
         return retryOrRefuse(row, error_kind::overloaded, true, now, out);
     case attempt_result::cut:
         targetFailed(m_requests.target[row], now);
@@ -288,13 +290,13 @@
     TAMARACK_ASSERT(false, "attempt result out of range");
 }
 
-void traffic_system::abandoned(request_id request, instant now, traffic_commands& out)
+void traffic_system::onCallerGone(request_id request, instant now, traffic_commands& out)
 {
     const auto row = m_requests.row(request);
     if (row < 0)
         return;
     const auto service = m_requests.shape[static_cast<std::size_t>(row)].service;
-    uncharge(static_cast<std::size_t>(row));
+    releaseTargetLoad(static_cast<std::size_t>(row));
     m_requests.remove(request);
     if (service.isValid())
         dispatch(service, now, out);
--- a/libs/decide/tests/authority_world.cpp
+++ b/libs/decide/tests/authority_world.cpp
@@ -1,4 +1,4 @@
-// The world of leases and orders.
+// Simulated nodes, log, network and engines.
 #include "authority_world.h"
 
 #include <algorithm>
@@ -10,8 +10,9 @@
     using namespace std::chrono_literals;
 
     constexpr duration tick = 50ms;
-    constexpr duration bufferedBytesLife = 3s;
-    constexpr double longestFlight = 2.5; // seconds that bytes of an order may take, also after their sender's end
+    constexpr duration bufferedBytesLifetime = 3s;
+    constexpr double maxTimeInFlight
+        = 2.5; // seconds; longest time in flight of an order's bytes, also after the end of their sender
     constexpr double clockSkew = 0.02;
     const std::string lease = "region/service";
 
@@ -22,7 +23,7 @@
     , m_random(settings.seed * 7919 + 17)
     , m_now(instant(duration(1'000'000'000)))
 {
-    m_nodes.reserve(3); // the nodes are referred to by address
+    m_nodes.reserve(3); // pointers to the nodes are stored, so they must not be relocated
     for (const char* name : { "a", "b", "c" }) {
         m_nodes.emplace_back();
         m_nodes.back().name = name;
@@ -41,9 +42,9 @@
     lease_settings leases { 2s, m_settings.margin, 300ms };
     order_settings orders;
     orders.appendRetry = 300ms;
-    orders.settle = 100ms;
+    orders.settleDelay = 100ms;
     orders.drainTimeout = 10s;
-    orders.bufferedBytesLife = bufferedBytesLife;
+    orders.bufferedBytesLifetime = bufferedBytesLifetime;
     orders.effectTimeout = 5s;
     node.isAlive = true;
     node.sequence = 0;
@@ -51,8 +52,8 @@
     node.orders = std::make_unique<order_system>(self, orders, m_settings.safeguards);
     world_node* at = &node;
     node.follower = std::make_unique<log_follower>([this, at](const log_record& record, verdict v) {
-        at->leases->recordSeen(record, v, localNow(*at));
-        at->orders->recordSeen(record, v, localNow(*at));
+        at->leases->onLogRecord(record, v, localNow(*at));
+        at->orders->onLogRecord(record, v, localNow(*at));
     });
     node.leases->setLeases({ { lease, static_cast<int>(m_random.below(3)) } });
 }
@@ -105,7 +106,7 @@
     for (auto& target : m_engines) {
         if (!chance(0.02))
             continue;
-        // A crash forgets settings, and a change in mid-way; the highest fence is assumed to be kept.
+        // A crash loses the settings and any change in progress; the highest fencing token is assumed to persist.
         ++target.incarnation;
         target.role = "mixed";
         target.isChanging = false;
@@ -120,7 +121,7 @@
     decoded_page page { { 0 }, { static_cast<std::int64_t>(m_log.size()) }, {} };
     for (auto at = static_cast<std::size_t>(node.follower->readFrom().value); at < m_log.size(); ++at)
         page.items.push_back({ m_log[at].offset, m_log[at] });
-    node.follower->take(page);
+    node.follower->applyPage(page);
 }
 
 void authority_world::adoptFromPeer(world_node& node)
@@ -131,24 +132,24 @@
     if (!node.follower->adopt(peer.follower->state().data()))
         return;
     const auto& state = node.follower->state();
-    if (m_settings.offeredStateIsSight)
-        node.leases->restored(state, localNow(node));
-    node.orders->restored(state, localNow(node));
+    if (m_settings.peerStateCountsAsSeen)
+        node.leases->onStateRestored(state, localNow(node));
+    node.orders->onStateRestored(state, localNow(node));
 }
 
 void authority_world::append(world_node& node, const record_body& body)
 {
     const auto sequence = ++node.sequence;
-    node.leases->appendSent(body, sequence, localNow(node));
+    node.leases->onAppendSent(body, sequence, localNow(node));
     ++m_result.events;
     if (node.isCutFromLog || m_now < m_logDownUntil) {
-        // Down: most appends are lost, some land when the log is back.
+        // During an outage most appends are lost; the others are appended when the log is available again.
         if (m_random.unit() < 0.7)
             return;
     }
     const double longest = m_random.unit() < 0.1 ? 5 : 0.1;
-    const instant lands = std::max(m_now, m_logDownUntil) + randomDelay(longest);
-    m_landing.push_back({ lands, { { node.name, node.incarnation }, sequence }, body });
+    const instant scheduledAt = std::max(m_now, m_logDownUntil) + randomDelay(longest);
+    m_pendingAppends.push_back({ scheduledAt, { { node.name, node.incarnation }, sequence }, body });
 }
 
 void authority_world::stepNode(std::size_t index)
@@ -157,21 +158,21 @@
     if (!node.isAlive || m_now < node.frozenUntil)
         return;
     const instant local = localNow(node);
-    // Views that arrived meanwhile are taken in before anything is decided, as a thawed process would.
-    for (auto& item : m_views) {
+    // Views that arrived during a freeze are processed before any decision, as a resumed process would do.
+    for (auto& item : m_viewsInTransit) {
         if (item.node == index && item.incarnation == node.incarnation && item.at <= m_now) {
-            node.orders->targetSeen(item.engine, item.view);
+            node.orders->onTargetView(item.engine, item.view);
             item.node = m_nodes.size();
         }
     }
     for (auto& item : m_answers) {
         if (item.node == index && item.incarnation == node.incarnation && item.at <= m_now) {
-            node.orders->orderAnswered(item.order, item.result);
+            node.orders->onDeliveryResult(item.order, item.result);
             item.node = m_nodes.size();
         }
     }
     if (m_now >= node.nextRead) {
-        // A thawed node finds its peers' heartbeats waiting, and asks one for its state before the log has answered.
+        // A resumed node may read queued heartbeats and request a peer's state before the log responds.
         if (m_random.unit() < 0.3)
             adoptFromPeer(node);
         readLog(node);
@@ -182,17 +183,18 @@
         for (const auto& target : m_engines) {
             target_view view { true, local, target.incarnation, target.isChanging, 0, target.lastOrder,
                 { { order_kind::role, target.role } } };
-            m_views.push_back({ index, node.incarnation, m_now + randomDelay(0.3), target.name, view });
+            m_viewsInTransit.push_back({ index, node.incarnation, m_now + randomDelay(0.3), target.name, view });
         }
         for (const auto& other : m_nodes) {
             if (other.isAlive && m_now >= other.frozenUntil)
-                node.orders->incarnationSeen({ other.name, other.incarnation }, local);
+                node.orders->onIncarnation({ other.name, other.incarnation }, local);
         }
     }
     if (chance(0.7)) {
         static const char* const roles[] { "prefill", "decode", "mixed" };
         const auto& target = m_engines[m_random.below(m_engines.size())];
-        node.orders->want(target.name, lease, m_settings.checksFencing, { order_kind::role, roles[m_random.below(3)] });
+        node.orders->setDesired(
+            target.name, lease, m_settings.checksFencing, { order_kind::role, roles[m_random.below(3)] });
     }
     for (const auto& wanted : node.leases->step(node.follower->state(), local, node.follower->hasReachedEnd()))
         append(node, wanted.body);
@@ -203,14 +205,15 @@
         append(node, wanted.body);
     }
     for (const auto& order : output.deliveries) {
-        // Between the decision and the write lies a pause, which a freeze can make as long as it likes.
+        // There is a delay between the decision and the write, which a freeze can extend arbitrarily.
         m_sendings.push_back({ index, node.incarnation, order, m_now + randomDelay(0.1), false, {} });
         if (chance(2.0))
             node.frozenUntil = m_now + randomDelay(7);
     }
 }
 
-void authority_world::take(engine& target, const deliver_order& order, std::size_t node, std::uint64_t incarnation)
+void authority_world::executeOrder(
+    engine& target, const deliver_order& order, std::size_t node, std::uint64_t incarnation)
 {
     const std::int64_t number = order.fence.value;
     const bool isStale = number < target.highestFence;
@@ -220,9 +223,9 @@
     }
     ++m_result.orders;
     m_result.conflicts += isStale;
-    const target_orders& agreed = m_truth.orders(target.name);
-    const bool isReplaced = agreed.last != order.order && agreed.order != order.what;
-    m_result.staleEffects += isReplaced || (agreed.last == order.order && !agreed.isOpen);
+    const target_orders& replicated = m_truth.orders(target.name);
+    const bool isReplaced = replicated.last != order.order && replicated.order != order.what;
+    m_result.staleEffects += isReplaced || (replicated.last == order.order && !replicated.isOpen);
     target.highestFence = std::max(target.highestFence, number);
     target.lastOrder = order.order.value;
     target.nextRole = order.what.value;
@@ -232,16 +235,16 @@
         m_answers.push_back({ node, incarnation, m_now + randomDelay(0.2), order.order, delivery_result::accepted });
     else
         m_answers.push_back(
-            { node, incarnation, m_now + bufferedBytesLife + 1s, order.order, delivery_result::closed });
+            { node, incarnation, m_now + bufferedBytesLifetime + 1s, order.order, delivery_result::closed });
 }
 
 void authority_world::stepNetwork()
 {
-    std::stable_sort(
-        m_landing.begin(), m_landing.end(), [](const auto& a, const auto& b) { return a.landsAt < b.landsAt; });
-    while (!m_landing.empty() && m_landing.front().landsAt <= m_now) {
-        const auto item = m_landing.front();
-        m_landing.erase(m_landing.begin());
+    std::stable_sort(m_pendingAppends.begin(), m_pendingAppends.end(),
+        [](const auto& a, const auto& b) { return a.appendedAt < b.appendedAt; });
+    while (!m_pendingAppends.empty() && m_pendingAppends.front().appendedAt <= m_now) {
+        const auto item = m_pendingAppends.front();
+        m_pendingAppends.erase(m_pendingAppends.begin());
         const log_offset offset { static_cast<std::int64_t>(m_log.size()) };
         m_log.push_back({ offset, item.origin, item.body });
         m_truth.apply(m_log.back());
@@ -251,7 +254,7 @@
         const bool isItsProcess = node.isAlive && node.incarnation == item.incarnation;
         if (!item.hasLeft && isItsProcess && m_now >= item.leavesAt && m_now >= node.frozenUntil) {
             item.hasLeft = true;
-            item.arrivesAt = m_now + randomDelay(m_random.unit() < 0.3 ? longestFlight : 0.1);
+            item.arrivesAt = m_now + randomDelay(m_random.unit() < 0.3 ? maxTimeInFlight : 0.1);
         }
     }
     for (const auto& item : m_sendings) {
@@ -259,7 +262,7 @@
             continue;
         for (auto& target : m_engines) {
             if (target.name == item.order.target)
-                take(target, item.order, item.node, item.incarnation);
+                executeOrder(target, item.order, item.node, item.incarnation);
         }
     }
     std::erase_if(m_sendings, [&](const auto& item) {
@@ -267,7 +270,7 @@
         const bool isDead = !node.isAlive || node.incarnation != item.incarnation;
         return item.hasLeft ? item.arrivesAt <= m_now : isDead;
     });
-    std::erase_if(m_views, [&](const auto& item) { return item.node == m_nodes.size(); });
+    std::erase_if(m_viewsInTransit, [&](const auto& item) { return item.node == m_nodes.size(); });
     std::erase_if(m_answers, [&](const auto& item) { return item.node == m_nodes.size(); });
 }
 
--- a/libs/decide/tests/authority_world.h
+++ b/libs/decide/tests/authority_world.h
@@ -1,5 +1,5 @@
-// Several nodes' leases and orders against one log and some engines, in virtual time, with everything that can fail
-// failing: frozen and killed nodes, lost answers, late appends, a log that is down, slow bytes, engine crashes.
+// Simulation of the leases and orders of several nodes with one log and some engines, in virtual time and under fault
+// injection: frozen and killed nodes, lost answers, late appends, log outages, delayed bytes and engine crashes.
 #pragma once
 
 #include "base/random_source.h"
@@ -19,17 +19,17 @@
     order_safeguards safeguards;
     duration margin = std::chrono::milliseconds(200);
     double seconds = 60;
-    bool offeredStateIsSight = true; ///< the lease system is told of states that were taken over from a peer
+    bool peerStateCountsAsSeen = true; ///< the lease system is notified when a peer's state is adopted
 };
 
 struct world_result {
-    int conflicts = 0; ///< an engine took an older order after a newer one
-    int staleEffects = 0; ///< an engine took an order that the log had closed, or replaced by a different one
-    int doubleHolders = 0; ///< moments at which two nodes trusted themselves to hold the lease
-    int orders = 0; ///< orders that engines took
-    int takeOvers = 0;
-    int events = 0; ///< decisions and faults, for the count of what was tried
-    int closed = 0; ///< orders that were closed
+    int conflicts = 0; ///< times an engine accepted an older order after a newer one
+    int staleEffects = 0; ///< times an engine accepted an order that the log had closed or replaced by a different one
+    int doubleHolders = 0; ///< steps at which two nodes considered themselves holder of the lease
+    int orders = 0; ///< orders accepted by engines
+    int takeOvers = 0; ///< lease terms
+    int events = 0; ///< decisions and faults, as a measure of coverage
+    int closed = 0; ///< orders closed because their effect was seen
 };
 
 class authority_world {
@@ -39,7 +39,7 @@
 
 private:
     struct appended {
-        instant landsAt;
+        instant appendedAt;
         record_origin origin;
         record_body body;
     };
@@ -47,7 +47,7 @@
         std::size_t node;
         std::uint64_t incarnation;
         deliver_order order;
-        instant leavesAt; // when the node's thread gets to write it
+        instant leavesAt; // when the node writes it to the connection
         bool hasLeft = false;
         instant arrivesAt;
     };
@@ -58,7 +58,7 @@
         log_offset order;
         delivery_result result;
     };
-    struct view_on_way {
+    struct view_in_transit {
         std::size_t node;
         std::uint64_t incarnation;
         instant at;
@@ -99,7 +99,7 @@
     void readLog(world_node& node);
     void adoptFromPeer(world_node& node);
     void append(world_node& node, const record_body& body);
-    void take(engine& target, const deliver_order& order, std::size_t node, std::uint64_t incarnation);
+    void executeOrder(engine& target, const deliver_order& order, std::size_t node, std::uint64_t incarnation);
     void checkHolders();
     bool chance(double perSecond);
     instant localNow(const world_node& node) const;
@@ -112,11 +112,11 @@
     std::vector<world_node> m_nodes;
     std::vector<engine> m_engines;
     std::vector<log_record> m_log;
-    agreed_state m_truth; // the fold over the whole log
-    std::vector<appended> m_landing;
+    replicated_state m_truth; // state after all records of the log
+    std::vector<appended> m_pendingAppends;
     std::vector<sending> m_sendings;
     std::vector<answer> m_answers;
-    std::vector<view_on_way> m_views;
+    std::vector<view_in_transit> m_viewsInTransit;
     instant m_logDownUntil;
     log_offset m_lastTerm;
 };
--- a/libs/decide/tests/test_authority.cpp
+++ b/libs/decide/tests/test_authority.cpp
@@ -1,4 +1,4 @@
-// Proofs about leases and orders under random interleavings of faults.
+// Invariants of leases and orders under random interleavings of faults.
 #include "authority_world.h"
 #include "decide/control_system.h"
 
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// TAMARACK_SEEDS runs more worlds than a test run has time for.
+/// Number of simulations; the environment variable TAMARACK_SEEDS overrides it for longer runs.
 int seedCount()
 {
     constexpr int usual = 300;
@@ -47,9 +47,8 @@
 
 TEST_CASE("test_checking_targets_never_take_conflicting_orders")
 {
-    // Symptom: an engine changes to a role that was already given up.
-    // Sequence: the holder freezes between its check and the write, a successor orders something else, the holder
-    // thaws. Cause: nothing told the engine that the first order's number is old.
+    // The holder freezes between its lease check and the write, a successor issues a different order, and the holder
+    // resumes. Without a fencing token the engine would accept the outdated order and change to a superseded role.
     world_settings settings;
     const auto result = total(settings);
     CHECK(result.conflicts == 0);
@@ -61,8 +60,8 @@
 
 TEST_CASE("test_targets_that_ignore_numbers_never_take_conflicting_orders")
 {
-    // Symptom and sequence as above, at an engine that takes whatever comes.
-    // Cause: a successor issued something while the frozen holder's copy could still arrive.
+    // The same scenario at an engine that does not check fencing tokens: a successor must not issue an order while the
+    // frozen holder's copy can still arrive.
     world_settings settings;
     settings.checksFencing = false;
     const auto result = total(settings);
@@ -75,7 +74,7 @@
 
 TEST_CASE("test_stale_effects_appear_without_raising_the_fence_first")
 {
-    // The proof's other half: without the mechanism the same worlds show the fault.
+    // Control for the tests above: without the safeguards the same simulations show the fault.
     world_settings settings;
     settings.safeguards.reissueBeforeNew = false;
     settings.safeguards.adoptOpenOrders = false;
@@ -100,28 +99,26 @@
 
 TEST_CASE("test_two_holders_appear_without_the_margin")
 {
-    // Symptom: two nodes act under one lease for a moment.
-    // Cause: their clocks run apart, and the challenger did not allow for it.
+    // If a challenger does not allow for clock drift, two nodes briefly act under the same lease.
     world_settings settings;
     settings.margin = -std::chrono::milliseconds(1000);
     CHECK(total(settings).doubleHolders > 0);
 }
 
-TEST_CASE("test_two_holders_appear_when_a_peers_state_is_no_sight_of_the_lease")
+TEST_CASE("test_two_holders_appear_when_a_peers_state_does_not_count_as_seen")
 {
-    // Symptom: two nodes act under one lease for up to its length.
-    // Sequence: a node freezes, another takes the lease and renews it, the first thaws and learns of it from a peer.
-    // Cause: it knows the lease's last record, but takes it for as old as what it read before the freeze.
+    // A node freezes, another claims the lease and renews it, and the first node resumes and adopts a peer's state. If
+    // it dates the lease's last record from before the freeze, two nodes act under the lease for up to its length.
     world_settings settings;
-    settings.offeredStateIsSight = false;
+    settings.peerStateCountsAsSeen = false;
     CHECK(total(settings).doubleHolders > 0);
 }
 
 TEST_CASE("test_thawed_node_leaves_the_lease_to_the_holder_it_learns_of")
 {
-    // Symptom: an engine gets one order under two numbers, from two nodes.
-    // Sequence: a node reads the log, freezes, thaws after another's claim, and a peer's state arrives first.
-    // Cause: a state that a peer offers was no sight of the lease's record, so the lease looked vacant.
+    // A node reads the log, freezes, and resumes after another node's claim, and a peer's state arrives before the log
+    // responds. If the lease record in that state did not count as seen, the lease would look vacant, and an engine
+    // would receive the same order from two nodes with two fencing tokens.
     const instance_id self { "a", 1 };
     const instance_id other { "b", 1 };
     control_system node({ self, "r", "z" }, {}, instant(fromSeconds(1000)));
@@ -129,7 +126,7 @@
         { "name": "s", "kind": "engine", "model": "m", "targets": [
             { "name": "t", "address": "10.0.0.1:1", "availability_zone": "z" } ] } ] })";
     const auto atSecond = [](double seconds) { return instant(fromSeconds(1000 + seconds)); };
-    agreed_state truth;
+    replicated_state truth;
     decoded_page page { { 0 }, { 2 }, {} };
     const auto put = [&](std::int64_t offset, const instance_id& writer, std::uint64_t sequence, record_body body) {
         const log_record record { { offset }, { writer, sequence }, std::move(body) };
@@ -138,28 +135,27 @@
     };
     put(0, other, 1, publication_record { 0, text, "operator" });
     put(1, other, 2, claim_record { "r/s", {} });
-    node.pageRead(page, atSecond(0));
+    node.onLogPage(page, atSecond(0));
     node.tick(atSecond(0.1));
     put(2, other, 3, renewal_record { "r/s", { 1 } });
-    node.stateOffered(truth.data(), atSecond(60));
+    node.onPeerState(truth.data(), atSecond(60));
     const auto isClaim = [](const record_body& body) { return std::holds_alternative<claim_record>(body); };
     const auto claims = [&](double seconds) {
-        node.pageRead({ { 0 }, { 3 }, {} }, atSecond(seconds));
+        node.onLogPage({ { 0 }, { 3 }, {} }, atSecond(seconds));
         const auto out = node.tick(atSecond(seconds));
         return std::count_if(out.appends.begin(), out.appends.end(), isClaim);
     };
     CHECK(claims(60) == 0);
-    CHECK(claims(64) == 0); // the holder may trust itself for 6 s since its renewal
+    CHECK(claims(64) == 0); // the holder's lease is valid for 6 s from its renewal
     CHECK(claims(67) == 1);
 }
 
 TEST_CASE("test_order_learned_from_a_peer_is_never_sent")
 {
-    // Symptom: a node ends, or sends an order whose turn is long over.
-    // Sequence: it appends an order, loses the log, and learns of its own record from a peer's state.
-    // Cause: only records that it reads itself were expected.
+    // A node appends an order, loses access to the log, and learns of its own record from a peer's state. It must
+    // neither abort because it did not read the record itself nor send the order, which may be outdated.
     const instance_id self { "a", 1 };
-    agreed_state state;
+    replicated_state state;
     state.apply({ { 0 }, { self, 1 }, claim_record { "l", {} } });
     state.apply(
         { { 1 }, { self, 2 }, order_record { "l", { 0 }, "x", { order_kind::role, "decode" }, false, {}, false, 1 } });
@@ -168,8 +164,8 @@
     lease_system leases(self, {});
     leases.setLeases({ { "l", 0 } });
     const instant now(fromSeconds(1000));
-    orders.restored(state, now);
-    orders.targetSeen("x", { true, now + std::chrono::seconds(5), 1, false, 0, -1, {} });
+    orders.onStateRestored(state, now);
+    orders.onTargetView("x", { true, now + std::chrono::seconds(5), 1, false, 0, -1, {} });
     const auto output = orders.step(state, leases, now + std::chrono::seconds(6));
     CHECK(output.deliveries.empty());
     REQUIRE(output.appends.size() == 1);
--- a/libs/decide/tests/test_key_registry.cpp
+++ b/libs/decide/tests/test_key_registry.cpp
@@ -1,4 +1,4 @@
-// At most once: keys of non-idempotent requests under retries through any node, lost answers and lost nodes.
+// At-most-once execution of requests with idempotency keys under retries through any node, lost answers and lost nodes.
 #include "base/random_source.h"
 #include "decide/key_registry.h"
 
@@ -25,53 +25,51 @@
 {
     key_registry keys(home, 60s);
     const auto token = keys.issue(at(0));
-    CHECK(keys.requested("k", token, at(1)).decision == key_decision::run);
-    CHECK(keys.requested("k", token, at(2)).decision == key_decision::join);
-    keys.answered("k", "answer", at(3));
-    const auto again = keys.requested("k", token, at(4));
+    CHECK(keys.onRequest("k", token, at(1)).decision == key_decision::run);
+    CHECK(keys.onRequest("k", token, at(2)).decision == key_decision::join);
+    keys.onAnswer("k", "answer", at(3));
+    const auto again = keys.onRequest("k", token, at(4));
     CHECK(again.decision == key_decision::replay);
-    CHECK(again.kept == "answer");
+    CHECK(again.storedAnswer == "answer");
 }
 
 TEST_CASE("test_key_given_away_does_not_run_at_home")
 {
-    // Symptom: a report is filed twice.
-    // Sequence: the caller's first try is held up on its way home; it retries elsewhere, which runs it; the first
-    // arrives. Cause: the home did not remember that it gave the right away.
+    // The caller's first attempt is delayed on the way to the home, a retry runs at another node, and then the first
+    // attempt arrives. If the home did not record the delegation, the request would run twice.
     key_registry keys(home, 60s);
     const auto token = keys.issue(at(0));
-    CHECK(keys.askedBy(other, "k", token, at(1)).decision == key_decision::run);
-    CHECK(keys.askedBy(other, "k", token, at(2)).decision == key_decision::run);
-    CHECK(keys.askedBy(third, "k", token, at(3)).decision == key_decision::moved);
-    const auto late = keys.requested("k", token, at(4));
+    CHECK(keys.onDelegationRequest(other, "k", token, at(1)).decision == key_decision::run);
+    CHECK(keys.onDelegationRequest(other, "k", token, at(2)).decision == key_decision::run);
+    CHECK(keys.onDelegationRequest(third, "k", token, at(3)).decision == key_decision::moved);
+    const auto late = keys.onRequest("k", token, at(4));
     CHECK(late.decision == key_decision::moved);
     CHECK(late.movedTo == other);
 }
 
 TEST_CASE("test_forgotten_key_is_unknown_not_new")
 {
-    // Symptom: a tag is set twice, an hour apart.
-    // Sequence: the request runs, its outcome is forgotten, the caller asks again with the old home.
-    // Cause: "not found" was taken for "never seen".
+    // A request runs, its entry expires, and the caller retries later with the old home token. A missing entry must not
+    // be taken for a new key, or the request would run twice.
     key_registry keys(home, 60s);
     const auto token = keys.issue(at(0));
-    CHECK(keys.requested("k", token, at(1)).decision == key_decision::run);
-    keys.answered("k", "answer", at(2));
+    CHECK(keys.onRequest("k", token, at(1)).decision == key_decision::run);
+    keys.onAnswer("k", "answer", at(2));
     keys.tick(at(100));
     CHECK(keys.size() == 0);
-    CHECK(keys.requested("k", token, at(100)).decision == key_decision::unknown);
-    CHECK(keys.requested("k", keys.issue(at(100)), at(101)).decision == key_decision::run);
+    CHECK(keys.onRequest("k", token, at(100)).decision == key_decision::unknown);
+    CHECK(keys.onRequest("k", keys.issue(at(100)), at(101)).decision == key_decision::run);
 }
 
 TEST_CASE("test_refused_key_may_run_later")
 {
     key_registry keys(home, 60s);
     const auto token = keys.issue(at(0));
-    keys.requested("k", token, at(1));
-    keys.notRun("k");
-    CHECK(keys.requested("k", token, at(2)).decision == key_decision::run);
-    keys.outcomeUnknown("k", at(3));
-    CHECK(keys.requested("k", token, at(4)).decision == key_decision::unknown);
+    keys.onRequest("k", token, at(1));
+    keys.onNotExecuted("k");
+    CHECK(keys.onRequest("k", token, at(2)).decision == key_decision::run);
+    keys.onOutcomeUnknown("k", at(3));
+    CHECK(keys.onRequest("k", token, at(4)).decision == key_decision::unknown);
 }
 
 TEST_CASE("test_home_text_round_trip")
@@ -84,12 +82,12 @@
 
 namespace {
 
-/// Some nodes, one key after another, a caller that retries through any of them, and everything that can be lost.
+/// Simulation of several nodes and a caller that retries each key through any of them, with lost messages and restarts.
 class key_world {
 public:
-    key_world(std::uint64_t seed, bool forgetsSafely)
+    key_world(std::uint64_t seed, bool honorsIssueTime)
         : m_random(seed)
-        , m_forgetsSafely(forgetsSafely)
+        , m_honorsIssueTime(honorsIssueTime)
     {
         for (const char* name : { "n1", "n2", "n3" })
             m_nodes.push_back({ { name, 1 }, nullptr });
@@ -132,7 +130,7 @@
             if (m_random.unit() < 0.1)
                 restart(m_nodes[m_random.below(m_nodes.size())]);
             if (m_random.unit() < 0.1)
-                m_time += 15; // longer than the memory
+                m_time += 15; // longer than the retention
             for (auto& n : m_nodes)
                 n.keys->tick(now());
             auto& asked = m_nodes[m_random.below(m_nodes.size())];
@@ -149,20 +147,21 @@
             }
             if (decision != key_decision::run)
                 continue;
-            // The target runs it, or refuses, or the answer is lost, or the node dies before it can note the outcome.
+            // The target runs or refuses the request, or its answer is lost, or the node restarts before it records the
+            // outcome.
             const double fate = m_random.unit();
             if (fate < 0.2) {
-                asked.keys->notRun(key);
+                asked.keys->onNotExecuted(key);
                 continue;
             }
             ++runs;
             if (fate < 0.4)
-                asked.keys->outcomeUnknown(key, now());
+                asked.keys->onOutcomeUnknown(key, now());
             else if (fate < 0.5)
                 restart(asked);
             else
-                asked.keys->answered(key, "done", now());
-            // The answer to the caller may be lost as well: it tries again.
+                asked.keys->onAnswer(key, "done", now());
+            // The answer to the caller may be lost as well, in which case the caller retries.
         }
         doubles += runs > 1;
     }
@@ -171,24 +170,25 @@
     {
         const instant asking = now();
         if (token.instance == asked.id)
-            return asked.keys->requested(key, m_forgetsSafely ? token : asked.keys->issue(asking), asking).decision;
+            return asked.keys->onRequest(key, m_honorsIssueTime ? token : asked.keys->issue(asking), asking).decision;
         for (auto& n : m_nodes) {
             if (n.id != token.instance)
                 continue;
             if (m_random.unit() < 0.1)
-                return key_decision::unknown; // the home is frozen or cut off
-            const auto answer = n.keys->askedBy(asked.id, key, m_forgetsSafely ? token : n.keys->issue(asking), asking);
+                return key_decision::unknown; // the home is frozen or unreachable
+            const auto answer
+                = n.keys->onDelegationRequest(asked.id, key, m_honorsIssueTime ? token : n.keys->issue(asking), asking);
             if (m_random.unit() < 0.1)
-                return key_decision::unknown; // its answer is lost, the key is sealed all the same
+                return key_decision::unknown; // the answer is lost, but the key is delegated nevertheless
             if (answer.decision == key_decision::run)
-                return asked.keys->adopted(key, now()).decision;
+                return asked.keys->onDelegated(key, now()).decision;
             return answer.decision;
         }
-        return key_decision::unknown; // that life of the home is over
+        return key_decision::unknown; // that instance of the home has ended
     }
 
     random_source m_random;
-    bool m_forgetsSafely;
+    bool m_honorsIssueTime;
     std::vector<node> m_nodes;
     double m_time = 0;
 };
@@ -213,7 +213,7 @@
 
 TEST_CASE("test_doubles_appear_when_the_issue_time_is_ignored")
 {
-    // The proof's other half: a home that takes every unknown key for new runs some twice.
+    // Control for the test above: a home that treats every unknown key as new runs some requests twice.
     int doubles = 0;
     for (std::uint64_t seed = 1; seed <= 200; ++seed) {
         key_world world(seed, false);
--- a/libs/decide/tests/test_agreed_state.cpp
+++ b/libs/decide/tests/test_replicated_state.cpp
@@ -1,6 +1,6 @@
-// The fold over the log: its verdicts, and that restating or repeating changes nothing.
-#include "decide/agreed_state.h"
+// Verdicts of the replicated state, snapshots, and repeated records.
 #include "decide/log_follower.h"
+#include "decide/replicated_state.h"
 
 #include <catch2/catch.hpp>
 #include <rapidcheck.h>
@@ -15,7 +15,7 @@
 
 /// Builds a log record by record.
 struct log_builder {
-    agreed_state state;
+    replicated_state state;
     std::vector<log_record> records;
 
     verdict add(const instance_id& writer, record_body body)
@@ -81,11 +81,11 @@
     CHECK(log.state.configuration().text == "two");
 }
 
-TEST_CASE("test_claim_that_lands_after_a_take_over_is_void")
+TEST_CASE("test_claim_appended_after_a_take_over_is_rejected")
 {
-    // Symptom: a former holder seems to hold the lease again.
-    // Sequence: its claim or renewal is held up on the way and lands after a successor's claim.
-    // Cause: the record was judged by when it was written, not by its place in the log.
+    // A claim or renewal of a former holder can be delayed and be appended after the successor's claim. It must be
+    // judged by its offset, not by the time at which it was written, or the former holder would appear to hold the
+    // lease again.
     log_builder log;
     CHECK(log.add(a, claim_record { lease, {} }) == verdict::valid);
     CHECK(log.add(b, claim_record { lease, { 0 } }) == verdict::valid);
@@ -97,9 +97,8 @@
 
 TEST_CASE("test_order_appended_twice_counts_once")
 {
-    // Symptom: a target is told again what it has long left behind.
-    // Sequence: the answer to an append is lost, it is appended again, and the copy lands when the order is closed.
-    // Cause: nothing tied the second copy to the state it was meant for.
+    // If the answer to an append is lost and the append is repeated, the copy may be appended after the order was
+    // closed. Without the compare-and-set on the previous order, the target would receive an outdated order again.
     log_builder log;
     log.add(a, claim_record { lease, {} });
     const auto first = order_record { lease, { 0 }, "x", { order_kind::role, "decode" }, true, {}, false, 1 };
@@ -121,9 +120,8 @@
 
 TEST_CASE("test_reissue_is_not_closed_as_never_sent")
 {
-    // Symptom: an order that was replaced takes effect after a different one was recorded.
-    // Sequence: a successor re-issues an open order, drops its own copy unsent, closes the order, orders something
-    // else. Cause: "never sent" was true of the re-issue alone; the former holder's copy was on its way.
+    // A successor reissues an open order, drops its own copy unsent, closes the order and issues a different one. Since
+    // never_sent is true only of the reissue, the former holder's copy may still be in flight and take effect later.
     log_builder log;
     log.add(a, claim_record { lease, {} });
     log.order(a, { 0 }, "decode");
@@ -147,11 +145,11 @@
 
 TEST_CASE("test_every_record_counts_at_most_once")
 {
-    // Appends are repeated after lost answers, so a log with any record doubled must mean the same.
+    // Appends are repeated after lost answers, so duplicating any record of a log must not change the state.
     CHECK(rc::check("doubling a record changes nothing but offsets", [] {
         const auto records = randomLog();
         const auto doubled = static_cast<std::size_t>(*rc::gen::inRange<int>(0, static_cast<int>(records.size())));
-        agreed_state state;
+        replicated_state state;
         for (std::size_t i = 0; i <= doubled; ++i)
             state.apply(records[i]);
         const auto before = state.data();
@@ -160,7 +158,7 @@
         const bool isRenewal = std::holds_alternative<renewal_record>(copy.body);
         const auto v = state.apply(copy);
         if (isRenewal)
-            return; // renewing twice is renewing
+            return; // a repeated renewal is valid and has the same effect
         RC_ASSERT(v != verdict::valid);
         auto after = state.data();
         after.asOf = before.asOf;
@@ -173,8 +171,8 @@
     CHECK(rc::check("a node that starts from a snapshot agrees with one that read everything", [] {
         const auto records = randomLog();
         const auto cut = static_cast<std::size_t>(*rc::gen::inRange<int>(0, static_cast<int>(records.size())));
-        agreed_state whole;
-        agreed_state restored;
+        replicated_state whole;
+        replicated_state restored;
         for (std::size_t i = 0; i < records.size(); ++i) {
             if (i == cut)
                 restored.restore(whole.data());
@@ -200,40 +198,38 @@
 
 TEST_CASE("test_node_starting_on_a_truncated_log_finds_the_configuration")
 {
-    // Symptom: a replaced node serves no configuration, or an old one, although one is in force.
-    // Sequence: the publication expires from the log; the node starts after that.
-    // Cause: nobody had restated what was published.
+    // A node that starts after the publication has expired from the log must obtain the configuration in force from a
+    // snapshot; without one it would serve no configuration or an old one.
     log_builder log;
     log.add(a, publication_record { 0, "one", "anna" });
     log.add(a, claim_record { lease, {} });
     log.add(a, snapshot_record { log.state.data() });
     log.add(a, publication_record { 1, "two", "anna" });
     log_follower follower([](const log_record&, verdict) {});
-    follower.take(pageOf(log.records, 1, 0));
+    follower.applyPage(pageOf(log.records, 1, 0));
     CHECK_FALSE(follower.hasGap());
     CHECK(follower.state().data() == log.state.data());
     CHECK(follower.hasReachedEnd());
 }
 
-TEST_CASE("test_gap_is_not_guessed_over")
+TEST_CASE("test_gap_is_not_skipped")
 {
-    // Symptom: two nodes judge the same record differently.
-    // Sequence: records expire before a node has read them, and it goes on from what it knew.
-    // Cause: a compare-and-set against a state that is not the log's.
+    // If records expire before a node has read them, it must not continue from its old state: compare-and-set against
+    // that state would make two nodes reach different verdicts on the same record.
     log_builder log;
     log.add(a, publication_record { 0, "one", "anna" });
     log_follower follower([](const log_record&, verdict) {});
-    follower.take(pageOf(log.records, 0, 0));
+    follower.applyPage(pageOf(log.records, 0, 0));
     log.add(a, publication_record { 1, "two", "anna" });
     log.add(a, publication_record { 2, "three", "anna" });
-    follower.take(pageOf(log.records, 2, 1));
+    follower.applyPage(pageOf(log.records, 2, 1));
     CHECK(follower.hasGap());
     CHECK_FALSE(follower.hasReachedEnd());
     CHECK(follower.state().configuration().version == 1);
     SECTION("a snapshot bridges it")
     {
         log.add(a, snapshot_record { log.state.data() });
-        follower.take(pageOf(log.records, 2, follower.readFrom().value));
+        follower.applyPage(pageOf(log.records, 2, follower.readFrom().value));
         CHECK_FALSE(follower.hasGap());
         CHECK(follower.state().configuration().version == 3);
     }
@@ -250,7 +246,7 @@
     decoded_page page { { 0 }, { 2 }, {} };
     page.items.push_back({ { 0 }, std::nullopt });
     page.items.push_back({ { 1 }, log_record { { 1 }, { a, 1 }, publication_record { 0, "one", "anna" } } });
-    follower.take(page);
+    follower.applyPage(page);
     CHECK(follower.undecodable() == 1);
     CHECK(follower.state().configuration().version == 1);
 }
--- a/libs/decide/tests/test_routing.cpp
+++ b/libs/decide/tests/test_routing.cpp
@@ -1,4 +1,4 @@
-// Target choice and role changes.
+// Choice of targets and planning of role changes.
 #include "decide/role_planner.h"
 #include "decide/router.h"
 
@@ -37,20 +37,20 @@
         targets.assign(config);
         routes.assign(config, targets);
     }
-    routing_choice pick(const routing_need& need, role_set roles = role_set::all())
+    routing_choice pick(const routing_request& request, role_set roles = role_set::all())
     {
-        return routes.pick(need, roles, config, targets, at(0));
+        return routes.pick(request, roles, config, targets, at(0));
     }
 };
 
-routing_need longPrompt(std::uint64_t prefix = 0)
+routing_request longPrompt(std::uint64_t prefix = 0)
 {
-    routing_need need;
-    need.shape.service = { 0 };
-    need.shape.promptTokens = 6000;
-    need.shape.outputTokens = 100;
-    need.shape.prefixHash = prefix;
-    return need;
+    routing_request request;
+    request.shape.service = { 0 };
+    request.shape.promptTokens = 6000;
+    request.shape.outputTokens = 100;
+    request.shape.prefixHash = prefix;
+    return request;
 }
 
 std::vector<planned_engine> splitOf(int prefill, int decode)
@@ -84,7 +84,7 @@
     const auto usual = f.pick(longPrompt(77)).target;
     for (int i = 0; i < 20; ++i)
         CHECK(f.pick(longPrompt(77)).target == usual);
-    // Two seconds of prompts before it are more than a cached beginning is worth.
+    // Two seconds of queued prefill cost more than a cached prefix saves.
     f.targets.ownPrefillTokens[usual.value] = 11'000;
     f.targets.ownRunning[usual.value] = 5;
     int elsewhere = 0;
@@ -123,7 +123,7 @@
     policy_entry policy;
     policy.roleDwell = 60;
     role_planner planner(policy);
-    // Far too few prefill engines, but nothing was refused: routing copes.
+    // There are far too few prefill engines, but nothing is refused, so routing absorbs the load.
     for (int i = 0; i < 60; ++i)
         CHECK_FALSE(planner.plan(splitOf(3, 9), { 8, 2, 0 }, at(i)));
     std::optional<role_change> change;
@@ -133,14 +133,13 @@
     CHECK(change->role == engine_role::prefill);
     auto engines = splitOf(3, 9);
     engines[3].isChanging = true;
-    CHECK_FALSE(planner.plan(engines, { 8, 2, 1 }, at(71))); // one at a time
+    CHECK_FALSE(planner.plan(engines, { 8, 2, 1 }, at(71))); // only one change at a time
 }
 
 TEST_CASE("test_the_loss_of_a_zone_leaves_each_role")
 {
-    // Symptom: no engine writes answers after a zone is lost.
-    // Sequence: roles follow a mix with few answers, until the last decode engines stand in one zone.
-    // Cause: the planner looked at the fleet as a whole.
+    // If roles followed a workload with little decode without regard to zones, the last decode engines could end up in
+    // one zone, and its loss would leave no engine for decode.
     policy_entry policy;
     policy.roleDwell = 0;
     role_planner planner(policy);
--- a/libs/decide/tests/test_traffic.cpp
+++ b/libs/decide/tests/test_traffic.cpp
@@ -1,4 +1,4 @@
-// The request path's decisions: what is refused, what is retried, what may be promised.
+// Traffic decisions: refusals, retries and the guarantees that error kinds give.
 #include "base/random_source.h"
 #include "decide/traffic_system.h"
 
@@ -56,10 +56,10 @@
         traffic.configure(std::move(config), at(0), commands);
     }
 
-    request_id arrive(const request_shape& shape, double time)
+    request_id admit(const request_shape& shape, double time)
     {
         commands.clear();
-        return traffic.arrive(shape, at(time), commands);
+        return traffic.admit(shape, at(time), commands);
     }
     const refuse_request* refusal() const
     {
@@ -73,7 +73,7 @@
     {
         const auto attempt = started()->attempt;
         commands.clear();
-        traffic.ended(id, attempt, result, at(time), commands);
+        traffic.onAttemptEnded(id, attempt, result, at(time), commands);
     }
 };
 
@@ -86,7 +86,7 @@
         traffic_fixture f;
         for (auto& flag : f.traffic.targets().isLeaving)
             flag = 1;
-        f.arrive(completion(), 1);
+        f.admit(completion(), 1);
         REQUIRE(f.refusal());
         CHECK(f.refusal()->kind == error_kind::no_target);
         CHECK(f.refusal()->retryAfter > duration::zero());
@@ -97,7 +97,7 @@
         auto shape = completion();
         shape.outputTokens = 1000;
         for (int i = 0; i < 200 && !f.refusal(); ++i)
-            f.arrive(shape, 1);
+            f.admit(shape, 1);
         REQUIRE(f.refusal());
         CHECK(f.refusal()->kind == error_kind::deadline_unreachable);
         CHECK(f.refusal()->retryAfter > duration::zero());
@@ -110,14 +110,14 @@
         traffic_fixture f(config);
         auto shape = completion();
         shape.account = 5;
-        f.arrive(shape, 1);
-        f.arrive(shape, 1);
+        f.admit(shape, 1);
+        f.admit(shape, 1);
         CHECK(f.started());
-        f.arrive(shape, 1);
+        f.admit(shape, 1);
         REQUIRE(f.refusal());
         CHECK(f.refusal()->kind == error_kind::account_limit);
         shape.account = 6;
-        f.arrive(shape, 1);
+        f.admit(shape, 1);
         CHECK(f.started());
     }
     SECTION("a wait that turns out too long is ended before the deadline")
@@ -127,9 +127,9 @@
         shape.deadline = 3s;
         std::map<std::uint64_t, bool> refused;
         for (int i = 0; i < 6; ++i)
-            f.arrive(shape, 1);
+            f.admit(shape, 1);
         f.commands.clear();
-        f.traffic.tick(at(3.5), f.commands); // 0.65 s are needed, 0.5 s are left
+        f.traffic.tick(at(3.5), f.commands); // 0.65 s are needed, but only 0.5 s are left
         CHECK(f.traffic.waiting() == 0);
         CHECK_FALSE(f.commands.empty());
         for (const auto& command : f.commands) {
@@ -144,7 +144,7 @@
     traffic_fixture f;
     f.traffic.targets().isLeaving[f.traffic.targets().find("m1").value] = 1;
     for (int i = 0; i < 12; ++i) {
-        f.arrive(completion(), 1);
+        f.admit(completion(), 1);
         if (f.started())
             CHECK(f.traffic.targets().name[f.started()->target.value] != "m1");
     }
@@ -152,18 +152,17 @@
 
 TEST_CASE("test_outcome_of_a_sent_non_idempotent_request_is_unknown")
 {
-    // Symptom: a caller is told "not run" and files its report again.
-    // Sequence: the request was sent, the connection broke, no answer came.
-    // Cause: "no answer" was taken for "not run".
+    // The request was sent and the connection broke before an answer. Such a request must not be reported as "not run",
+    // or the caller would repeat a request that may have been executed.
     request_shape shape;
     shape.service = { 1 };
     shape.isIdempotent = false;
     traffic_fixture f;
-    auto id = f.arrive(shape, 1);
+    auto id = f.admit(shape, 1);
     f.end(id, attempt_result::maybe_run, 2);
     REQUIRE(f.refusal());
     CHECK(f.refusal()->kind == error_kind::outcome_unknown);
-    id = f.arrive(shape, 3);
+    id = f.admit(shape, 3);
     f.end(id, attempt_result::not_sent, 3);
     CHECK(f.started());
 }
@@ -171,7 +170,7 @@
 TEST_CASE("test_late_events_of_a_former_attempt_have_no_effect")
 {
     traffic_fixture f;
-    const auto id = f.arrive(completion(), 1);
+    const auto id = f.admit(completion(), 1);
     const auto first = f.started()->attempt;
     f.end(id, attempt_result::maybe_run, 2);
     REQUIRE(f.started());
@@ -179,9 +178,9 @@
     CHECK_FALSE(f.traffic.isCurrent(id, first));
     CHECK(f.traffic.isCurrent(id, second));
     traffic_commands none;
-    f.traffic.ended(id, first, attempt_result::answered, at(3), none);
+    f.traffic.onAttemptEnded(id, first, attempt_result::answered, at(3), none);
     CHECK(none.empty());
-    CHECK(f.traffic.counts().lateEvents == 1);
+    CHECK(f.traffic.counts().staleEvents == 1);
     CHECK(f.traffic.held() == 1);
 }
 
@@ -190,7 +189,7 @@
     traffic_fixture f(smallDeployment(1, 3));
     std::vector<request_id> ids;
     for (int i = 0; i < 4; ++i)
-        ids.push_back(f.arrive(completion(), 1));
+        ids.push_back(f.admit(completion(), 1));
     const auto held = f.traffic.held();
     auto next = smallDeployment(3, 10);
     std::swap(next->services[0], next->services[1]);
@@ -204,11 +203,10 @@
 
 TEST_CASE("test_request_of_a_removed_service_outlives_further_changes")
 {
-    // Symptom: a node ends when operators publish twice in a row.
-    // Sequence: a service is removed while a request of it runs; another text follows before the request ends.
-    // Cause: the request's row of the former configuration was looked up although it had none.
+    // A service is removed while one of its requests is running, and another configuration follows before the request
+    // ends. The second change must not look up the service of that request, which would abort the node.
     traffic_fixture f;
-    const auto id = f.arrive(completion(), 1);
+    const auto id = f.admit(completion(), 1);
     const auto attempt = f.started()->attempt;
     auto without = smallDeployment();
     without->services.erase(without->services.begin());
@@ -216,7 +214,7 @@
     f.traffic.configure(smallDeployment(), at(3), f.commands);
     CHECK(f.traffic.held() == 1);
     f.commands.clear();
-    f.traffic.ended(id, attempt, attempt_result::answered, at(4), f.commands);
+    f.traffic.onAttemptEnded(id, attempt, attempt_result::answered, at(4), f.commands);
     CHECK(f.traffic.held() == 0);
 }
 
@@ -224,9 +222,9 @@
 
 struct random_outcome {
     int ends = 0;
-    int falseNotRun = 0; // refused as "not run" although a target may have worked on it
-    int doubleRuns = 0; // non-idempotent, sent again after it may have run
-    int leftOver = 0; // work still counted at targets when all is over
+    int falseNotRun = 0; // refused as "not run" although a target may have executed it
+    int doubleRuns = 0; // non-idempotent requests sent again after they may have run
+    int unreleasedLoad = 0; // targets with load still counted after all requests have ended
     int requests = 0;
 };
 
@@ -248,12 +246,12 @@
     std::map<std::uint64_t, state> requests;
     random_outcome outcome;
     double time = 1;
-    // Half of the worlds have engines split by role.
+    // In half of the simulations engines are split by role.
     if (seed % 2) {
         for (std::uint32_t row = 0; row < traffic.targets().size(); ++row)
             traffic.targets().role[row] = row % 2 ? engine_role::prefill : engine_role::decode;
     }
-    const auto carryOut = [&] {
+    const auto executeCommands = [&] {
         for (const auto& command : commands) {
             if (const auto* start = std::get_if<start_attempt>(&command)) {
                 auto& item = requests[start->request.value];
@@ -281,8 +279,8 @@
             shape.isUrgent = random.unit() < 0.3;
             shape.depth = static_cast<int>(random.below(3));
             shape.deadline = fromSeconds(0.5 + 3 * random.unit());
-            // The answer to arrive() may already be in the commands, so the request is known before they are read.
-            const auto id = traffic.arrive(shape, at(time), commands);
+            // The commands may already contain the result of admit(), so the request is recorded before they are read.
+            const auto id = traffic.admit(shape, at(time), commands);
             requests[id.value].isIdempotent = shape.isIdempotent;
             ++outcome.requests;
         } else if (dice < 0.9) {
@@ -298,12 +296,12 @@
                     = static_cast<attempt_result>(random.below(static_cast<std::uint64_t>(attempt_result::count)));
                 const bool isPrefill = item.stage == request_stage::prefill;
                 if (result == attempt_result::cut)
-                    traffic.progressed({ id }, item.attempt, 5);
+                    traffic.onTokens({ id }, item.attempt, 5);
                 if (result == attempt_result::answered || result == attempt_result::cut
                     || result == attempt_result::maybe_run)
                     ++item.mayHaveRun;
                 item.isRunning = false;
-                traffic.ended({ id }, item.attempt, result, at(time), commands);
+                traffic.onAttemptEnded({ id }, item.attempt, result, at(time), commands);
                 if (result == attempt_result::answered && !isPrefill)
                     ++item.ends;
             }
@@ -312,7 +310,7 @@
             traffic.targets().isLeaving[row] = random.unit() < 0.2;
             traffic.tick(at(time), commands);
         }
-        carryOut();
+        executeCommands();
     }
     for (int rounds = 0; rounds < 200 && traffic.held() > 0; ++rounds) {
         time += 0.2;
@@ -322,18 +320,19 @@
             item.isRunning = false;
             const bool isPrefill = item.stage == request_stage::prefill;
             ++item.mayHaveRun;
-            traffic.ended({ id }, item.attempt, attempt_result::answered, at(time), commands);
+            traffic.onAttemptEnded({ id }, item.attempt, attempt_result::answered, at(time), commands);
             if (!isPrefill)
                 ++item.ends;
-            carryOut();
+            executeCommands();
         }
         traffic.tick(at(time), commands);
-        carryOut();
+        executeCommands();
     }
     for (const auto& [id, item] : requests)
         outcome.ends += item.ends == 1;
     for (std::uint32_t row = 0; row < traffic.targets().size(); ++row)
-        outcome.leftOver += traffic.targets().ownRunning[row] != 0 || traffic.targets().ownPrefillTokens[row] != 0;
+        outcome.unreleasedLoad
+            += traffic.targets().ownRunning[row] != 0 || traffic.targets().ownPrefillTokens[row] != 0;
     return outcome;
 }
 
@@ -341,30 +340,29 @@
 
 TEST_CASE("test_refusals_that_say_not_run_are_true")
 {
-    // Symptom: a caller told "not run" finds the work done twice after it asked again.
-    // Sequence: an attempt may have run, a later one is refused, the refusal's kind says "not run".
-    // Cause: the kind spoke of the last attempt alone.
+    // An attempt may have run and a later attempt is refused. The error kind must not say "not run" on account of the
+    // last attempt alone, or the caller would repeat the request and the work would be done twice.
     random_outcome sum;
     for (std::uint64_t seed = 1; seed <= 500; ++seed) {
         const auto one = randomTraffic(seed);
         sum.ends += one.ends;
         sum.falseNotRun += one.falseNotRun;
         sum.doubleRuns += one.doubleRuns;
-        sum.leftOver += one.leftOver;
+        sum.unreleasedLoad += one.unreleasedLoad;
         sum.requests += one.requests;
     }
     std::printf("%d requests in 500 random runs: %d ended once, %d false \"not run\", %d doubled\n", sum.requests,
         sum.ends, sum.falseNotRun, sum.doubleRuns);
     CHECK(sum.falseNotRun == 0);
     CHECK(sum.doubleRuns == 0);
-    CHECK(sum.leftOver == 0);
+    CHECK(sum.unreleasedLoad == 0);
     CHECK(sum.ends == sum.requests);
 }
 
 namespace {
 
-/// Outer calls each hold a slot until a nested call of theirs is answered. Counts outer calls that ended.
-int outerCallsEnded(bool nestedAreTold)
+/// Each outer call occupies a slot until its nested call is answered. Returns the number of outer calls that completed.
+int outerCallsEnded(bool nestedDepthIsSent)
 {
     traffic_system traffic("vm", "za", 3);
     traffic_commands commands;
@@ -391,13 +389,13 @@
         shape.deadline = 600s;
         constexpr int burst = 40;
         for (int i = 0; i < (step == 0 ? burst : 1); ++i) {
-            outers.push_back({ traffic.arrive(shape, at(time), commands), {}, {} });
+            outers.push_back({ traffic.admit(shape, at(time), commands), {}, {} });
             note();
         }
         for (auto& outer : outers) {
             if (running.contains(outer.id.value) && !outer.nested.isValid()) {
-                shape.depth = nestedAreTold ? 1 : 0;
-                outer.nested = traffic.arrive(shape, at(time), commands);
+                shape.depth = nestedDepthIsSent ? 1 : 0;
+                outer.nested = traffic.admit(shape, at(time), commands);
                 note();
             }
         }
@@ -407,8 +405,9 @@
                 kept.push_back(outer);
                 continue;
             }
-            traffic.ended(outer.nested, running[outer.nested.value], attempt_result::answered, at(time), commands);
-            traffic.ended(outer.id, running[outer.id.value], attempt_result::answered, at(time), commands);
+            traffic.onAttemptEnded(
+                outer.nested, running[outer.nested.value], attempt_result::answered, at(time), commands);
+            traffic.onAttemptEnded(outer.id, running[outer.id.value], attempt_result::answered, at(time), commands);
             ++ended;
             note();
         }
@@ -421,9 +420,8 @@
 
 TEST_CASE("test_nested_calls_make_progress_on_a_full_fleet")
 {
-    // Symptom: a full fleet stands still, every slot taken and nothing answered.
-    // Sequence: outer calls fill all slots and wait for nested calls that find none.
-    // Cause: nested calls queue behind new outer ones.
+    // Without reserved slots a full fleet deadlocks: outer calls occupy all slots and wait for nested calls, which
+    // queue behind new outer calls.
     const int with = outerCallsEnded(true);
     const int without = outerCallsEnded(false);
     std::printf("outer calls ended in 200 steps: %d with the nested share, %d without\n", with, without);
@@ -433,7 +431,7 @@
 
 namespace {
 
-/// Attempts for each request while one zone of three fails everything after it was sent.
+/// Attempts per request while two of three zones fail every request after it was sent.
 double attemptsPerRequest(double budget)
 {
     auto config = smallDeployment(9, 64);
@@ -447,7 +445,7 @@
     for (int i = 0; i < 3000; ++i) {
         time += 0.01;
         auto shape = completion();
-        traffic.arrive(shape, at(time), commands);
+        traffic.admit(shape, at(time), commands);
         ++requests;
         while (!commands.empty()) {
             const auto command = commands.back();
@@ -456,12 +454,12 @@
             if (!start)
                 continue;
             ++attempts;
-            // Failures are not noticed by blocking here: the zone answers, but always with an error.
+            // Clears the backoff, since the failing zones respond, but always with an error.
             traffic.targets().blockedUntil[start->target.value] = {};
             const bool fails
                 = traffic.targets().zone[start->target.value] == 1 || traffic.targets().zone[start->target.value] == 2;
             const auto result = fails ? attempt_result::maybe_run : attempt_result::answered;
-            traffic.ended(start->request, start->attempt, result, at(time), commands);
+            traffic.onAttemptEnded(start->request, start->attempt, result, at(time), commands);
             traffic.targets().blockedUntil[start->target.value] = {};
         }
     }
--- a/libs/node/src/admin_api.cpp
+++ b/libs/node/src/admin_api.cpp
@@ -24,7 +24,7 @@
             { "ready", node.isReady }, { "stopping", node.isStopping } };
     }
 
-    ordered_json ordersJson(const agreed_state& agreed)
+    ordered_json ordersJson(const replicated_state& agreed)
     {
         auto list = ordered_json::array();
         for (const auto& [target, orders] : agreed.data().orders) {
@@ -47,9 +47,9 @@
             list.push_back({ { "target", targets.name[row] },
                 { "service", traffic.config().services[static_cast<std::size_t>(targets.service[row])].name },
                 { "role", std::string(toString(targets.role[row])) }, { "own", targets.ownRunning[row] },
-                { "running", targets.runningEstimate({ row }, now) }, { "takes_work", targets.takesWork({ row }, now) },
-                { "leaving", targets.isLeaving[row] != 0 }, { "changing", targets.isChanging[row] != 0 },
-                { "draining", targets.isDraining[row] != 0 } });
+                { "running", targets.runningEstimate({ row }, now) },
+                { "takes_work", targets.acceptsRequests({ row }, now) }, { "leaving", targets.isLeaving[row] != 0 },
+                { "changing", targets.isChanging[row] != 0 }, { "draining", targets.isDraining[row] != 0 } });
         }
         return list;
     }
@@ -85,7 +85,7 @@
 {
     const auto now = boot_clock::now();
     const auto& decisions = m_control.decisions();
-    const auto& configuration = decisions.agreed().configuration();
+    const auto& configuration = decisions.replicated().configuration();
     ordered_json body = nodeJson(m_control.selfState());
     body["state"] = std::string(toString(decisions.ready().state(now)));
     body["served_version"] = decisions.servedVersion();
@@ -93,12 +93,13 @@
     body["log_reachable"] = decisions.ready().isLogReachable(now);
     body["log_gap"] = decisions.follower().hasGap();
     auto held = ordered_json::array();
-    for (const auto& [name, lease] : decisions.agreed().data().leases) {
+    for (const auto& [name, lease] : decisions.replicated().data().leases) {
         held.push_back({ { "lease", name }, { "holder", lease.holder.isValid() ? toString(lease.holder) : "" },
-            { "term", lease.term.value }, { "held_here", decisions.leases().holds(name, decisions.agreed(), now) } });
+            { "term", lease.term.value },
+            { "held_here", decisions.leases().holds(name, decisions.replicated(), now) } });
     }
     body["leases"] = held;
-    body["open_orders"] = ordersJson(decisions.agreed());
+    body["open_orders"] = ordersJson(decisions.replicated());
     auto alarms = ordered_json::array();
     for (const auto& item : decisions.alarms(now))
         alarms.push_back({ { "alarm", item.name }, { "detail", item.detail } });
