--- a/libs/node/src/control_plane.cpp
+++ b/libs/node/src/control_plane.cpp
@@ -62,7 +62,7 @@
           [this](const std::string& target, const target_status& status) { onStatus(target, status); },
           [this](const std::string& target) { onSilence(target); })
     , m_deliverer(
-          client, log, [this](log_offset order, delivery_result result) { m_control.orderAnswered(order, result); })
+          client, log, [this](log_offset order, delivery_result result) { m_control.onDeliveryResult(order, result); })
 {
     QObject::connect(&m_logTimer, &QTimer::timeout, [this] { readLog(); });
     QObject::connect(&m_vmTimer, &QTimer::timeout, [this] { readVmList(); });
@@ -104,7 +104,7 @@
             return;
         }
         const bool isFull = !page->entries.empty() && page->entries.back().offset + 1 < page->end;
-        m_control.pageRead(decode(*page), boot_clock::now());
+        m_control.onLogPage(decode(*page), boot_clock::now());
         tick();
         if (isFull)
             readLog();
@@ -122,7 +122,7 @@
             m_counters.count("tamarack_vm_list_failures_total");
             return;
         }
-        m_control.vmsListed(*vms, boot_clock::now());
+        m_control.onVmList(*vms, boot_clock::now());
         m_listedLeaving.clear();
         for (const auto& vm : *vms) {
             if (vm.kind == "target")
@@ -143,12 +143,12 @@
     self.callerPort = m_settings.callerPort;
     self.peerPort = m_settings.peerPort;
     self.adminPort = m_settings.adminPort;
-    self.configurationVersion = m_control.agreed().configuration().version;
-    self.configurationHash = m_control.agreed().configuration().hash;
-    self.logReach = m_control.agreed().next().value;
+    self.configurationVersion = m_control.replicated().configuration().version;
+    self.configurationHash = m_control.replicated().configuration().hash;
+    self.logReach = m_control.replicated().next().value;
     self.isLogReachable = m_control.ready().isLogReachable(now);
     self.isStopping = m_isStopping;
-    self.isReady = m_control.ready().takesWork(now);
+    self.isReady = m_control.ready().acceptsRequests(now);
     return self;
 }
 
@@ -177,7 +177,7 @@
         message.demands.push_back({ shortHash(services[s].name), static_cast<float>(demand.promptTokens),
             static_cast<float>(demand.outputTokens), static_cast<std::uint8_t>(demand.refusedShare * shareSteps) });
     }
-    for (const auto& peer : m_control.members().recipients(now))
+    for (const auto& peer : m_control.members().heartbeatRecipients(now))
         m_peers.send(peer.address, peer.peerPort, message);
     m_counters.count("tamarack_heartbeats_sent_total");
 }
@@ -185,14 +185,14 @@
 void control_plane::onHeartbeat(const heartbeat& message)
 {
     const auto now = boot_clock::now();
-    m_control.peerHeard(message.sender, now);
+    m_control.onHeartbeat(message.sender, now);
     m_loads.take(message.loads, now);
     m_peerDemand[message.sender.instance.node] = { now, message.demands };
     for (const auto& entry : message.digest)
-        m_control.incarnationHeard({ entry.vm, entry.incarnation }, now);
-    const bool isAhead = message.sender.logReach > m_control.agreed().next().value;
+        m_control.onPeerIncarnation({ entry.vm, entry.incarnation }, now);
+    const bool isAhead = message.sender.logReach > m_control.replicated().next().value;
     const bool lacksLog = !m_control.ready().isLogReachable(now) || m_control.follower().hasGap();
-    const bool lacksVersion = message.sender.configurationVersion > m_control.agreed().configuration().version;
+    const bool lacksVersion = message.sender.configurationVersion > m_control.replicated().configuration().version;
     if (isAhead && (lacksLog || lacksVersion))
         pullStateFrom(message.sender);
 }
@@ -211,7 +211,7 @@
         const auto record = decodeRecord({ 0 }, reply->agreedState);
         const auto* snapshot = record ? std::get_if<snapshot_record>(&record->body) : nullptr;
         if (snapshot)
-            m_control.stateOffered(snapshot->data, boot_clock::now());
+            m_control.onPeerState(snapshot->data, boot_clock::now());
         tick();
     });
 }
@@ -224,8 +224,8 @@
         return reply({});
     }
     peer_reply answer;
-    answer.isKnown = m_control.agreed().next().value > 0;
-    answer.agreedState = encodeRecord({ m_instance, 0 }, snapshot_record { m_control.agreed().data() });
+    answer.isKnown = m_control.replicated().next().value > 0;
+    answer.agreedState = encodeRecord({ m_instance, 0 }, snapshot_record { m_control.replicated().data() });
     reply(answer);
 }
 
@@ -252,7 +252,7 @@
     auto& targets = m_traffic.targets();
     const target_id id = targets.find(name);
     m_silences[name] = 0;
-    m_control.targetSeen(name, status.view);
+    m_control.onTargetView(name, status.view);
     if (!id.isValid())
         return;
     if (status.hasLoad)
@@ -286,7 +286,7 @@
     auto& targets = m_traffic.targets();
     for (std::uint32_t row = 0; row < targets.size(); ++row) {
         // An open order in the log means "about to change": every node stops giving it work, so that it can drain.
-        targets.isDraining[row] = m_control.agreed().orders(targets.name[row]).isOpen;
+        targets.isDraining[row] = m_control.replicated().orders(targets.name[row]).isOpen;
         const auto listed = m_listedLeaving.find(targets.name[row]);
         if (listed != m_listedLeaving.end() && listed->second)
             targets.isLeaving[row] = 1;
@@ -320,14 +320,14 @@
                     add(engines(entry.promptTokens, entry.outputTokens), entry.refusedShare / shareSteps);
             }
         }
-        m_control.demandSeen(service.name, total);
+        m_control.onServiceDemand(service.name, total);
     }
 }
 
 void control_plane::append(const record_body& body)
 {
     const auto sequence = ++m_sequence;
-    m_control.appendSent(body, sequence, boot_clock::now());
+    m_control.onAppendSent(body, sequence, boot_clock::now());
     m_counters.count("tamarack_log_appends_total");
     m_logClient.append(encodeRecord({ m_instance, sequence }, body), [this](std::optional<std::int64_t> offset) {
         if (!offset)
@@ -340,14 +340,14 @@
 
 void control_plane::logLeaseChanges()
 {
-    for (const auto& [name, lease] : m_control.agreed().data().leases) {
+    for (const auto& [name, lease] : m_control.replicated().data().leases) {
         auto& told = m_toldLeases[name];
         if (told.holder == lease.holder && told.term == lease.term)
             continue;
         told = lease;
         m_log.write(log_event::lease_changed,
             { { "lease", name }, { "holder", toString(lease.holder) }, { "term", lease.term.value },
-                { "read_to", m_control.agreed().next().value } });
+                { "read_to", m_control.replicated().next().value } });
     }
 }
 
@@ -370,7 +370,7 @@
         if (id.isValid())
             m_deliverer.deliver(order, parseEndpoint(m_traffic.targets().address[id.value]));
         else
-            m_control.orderAnswered(order.order, delivery_result::not_sent);
+            m_control.onDeliveryResult(order.order, delivery_result::not_sent);
     }
     publishMetrics(now);
 }
@@ -393,8 +393,8 @@
     }
     m_raised = std::move(raised);
     m_counters.set("tamarack_configuration_version", static_cast<double>(m_control.servedVersion()));
-    m_counters.set("tamarack_log_reach", static_cast<double>(m_control.agreed().next().value));
-    m_counters.set("tamarack_ready", m_control.ready().takesWork(now) ? 1 : 0);
+    m_counters.set("tamarack_log_reach", static_cast<double>(m_control.replicated().next().value));
+    m_counters.set("tamarack_ready", m_control.ready().acceptsRequests(now) ? 1 : 0);
     m_counters.set("tamarack_requests_held", static_cast<double>(m_traffic.held()));
     m_counters.set("tamarack_requests_waiting", static_cast<double>(m_traffic.waiting()));
     const auto& sent = m_peers.counts();
--- a/libs/node/src/control_settings_from.h
+++ b/libs/node/src/control_settings_from.h
@@ -13,10 +13,10 @@
     settings.lease.margin = node.leaseLength / 10;
     settings.lease.appendRetry = std::max<duration>(node.logPollInterval * 3, std::chrono::milliseconds(300));
     settings.orders.appendRetry = settings.lease.appendRetry;
-    settings.orders.settle = node.logPollInterval * 4;
+    settings.orders.settleDelay = node.logPollInterval * 4;
     settings.members.peerTimeout = node.peerTimeout;
-    settings.ready.cutOffAfter = node.peerTimeout * 2;
-    settings.ready.behindFor = node.peerTimeout;
+    settings.ready.isolationTimeout = node.peerTimeout * 2;
+    settings.ready.maxVersionLag = node.peerTimeout;
     settings.snapshotInterval = node.snapshotInterval;
     return settings;
 }
--- a/libs/node/src/idempotency_handler.cpp
+++ b/libs/node/src/idempotency_handler.cpp
@@ -62,7 +62,7 @@
             how.dump());
     }
     if (home->instance == m_keys.self())
-        return follow(key, m_keys.requested(key, *home, boot_clock::now()), caller, run);
+        return follow(key, m_keys.onRequest(key, *home, boot_clock::now()), caller, run);
     if (home->instance.node == m_keys.self().node) {
         // An earlier life of this node was the home, and took what it knew with it.
         return refuse(caller, error_kind::outcome_unknown, "the node that was first asked has restarted");
@@ -83,7 +83,7 @@
             if (!reply || !reply->isKnown)
                 return refuse(caller, error_kind::outcome_unknown, "the node that was first asked does not answer");
             if (reply->key.decision == key_decision::run)
-                return follow(key, m_keys.adopted(key, boot_clock::now()), caller, run);
+                return follow(key, m_keys.onDelegated(key, boot_clock::now()), caller, run);
             follow(key, reply->key, caller, run);
         });
 }
@@ -99,7 +99,7 @@
         return;
     case key_decision::replay: {
         m_counters.count("tamarack_replayed_total");
-        http_response kept = unpack(answer.kept);
+        http_response kept = unpack(answer.storedAnswer);
         kept.headers.set("Tamarack-Home", homeHeader());
         return caller->sendWhole(kept);
     }
@@ -121,11 +121,11 @@
     const auto now = boot_clock::now();
     const bool hasNotRun = !outcome.answer && answerFor(outcome.error).executed == ran::no;
     if (outcome.answer)
-        m_keys.answered(key, pack(*outcome.answer), now);
+        m_keys.onAnswer(key, pack(*outcome.answer), now);
     else if (hasNotRun)
-        m_keys.notRun(key);
+        m_keys.onNotExecuted(key);
     else
-        m_keys.outcomeUnknown(key, now);
+        m_keys.onOutcomeUnknown(key, now);
 
     auto joined = std::move(m_joined[key]);
     m_joined.erase(key);
@@ -145,7 +145,7 @@
 {
     if (request.home.instance != m_keys.self())
         return reply({ false, {}, {} }); // that life of this node is over
-    const auto answer = m_keys.askedBy(request.asker, request.key, request.home, boot_clock::now());
+    const auto answer = m_keys.onDelegationRequest(request.asker, request.key, request.home, boot_clock::now());
     if (answer.decision == key_decision::join) {
         m_waitingPeers[request.key].push_back({ request, std::move(reply) });
         return;
--- a/libs/node/src/node.cpp
+++ b/libs/node/src/node.cpp
@@ -147,7 +147,7 @@
 {
     if (isDraining)
         return now < drainingSince + 2 * settings.entryLifetime && control.decisions().servedVersion() > 0;
-    return control.decisions().ready().takesWork(now);
+    return control.decisions().ready().acceptsRequests(now);
 }
 
 std::optional<error_kind> node::state::refusal() const
@@ -163,12 +163,12 @@
     relay_input input, std::shared_ptr<response_writer> caller, std::function<void(const relay::outcome&)> onFinished)
 {
     traffic_commands commands;
-    const request_id id = traffic.arrive(input.shape, boot_clock::now(), commands);
+    const request_id id = traffic.admit(input.shape, boot_clock::now(), commands);
     auto item = std::make_shared<relay>(services, std::move(input), std::move(caller));
     relay::callbacks callbacks;
     callbacks.onAttemptEnded = [this, id](attempt_id attempt, attempt_result result) {
         traffic_commands next;
-        traffic.ended(id, attempt, result, boot_clock::now(), next);
+        traffic.onAttemptEnded(id, attempt, result, boot_clock::now(), next);
         execute(std::move(next));
     };
     callbacks.onCallerGone = [this, id] { callerGone(id); };
@@ -199,7 +199,7 @@
     const auto kept = std::move(found->second);
     relays.erase(found);
     traffic_commands commands;
-    traffic.abandoned(id, boot_clock::now(), commands);
+    traffic.onCallerGone(id, boot_clock::now(), commands);
     execute(std::move(commands));
 }
 
--- a/libs/node/src/target_poller.cpp
+++ b/libs/node/src/target_poller.cpp
@@ -18,7 +18,7 @@
         try {
             target_status status;
             status.view.isKnown = true;
-            status.view.askedAt = askedAt;
+            status.view.requestedAt = askedAt;
             status.view.incarnation = root.at("incarnation");
             status.view.isChanging = root.value("changing", false);
             status.view.running = root.value("running", 0);
--- a/libs/peer/src/peer_codec.cpp
+++ b/libs/peer/src/peer_codec.cpp
@@ -16,7 +16,7 @@
 
 template <class Archive> void serialize(Archive& archive, key_answer& answer)
 {
-    archive(answer.decision, answer.kept, answer.movedTo);
+    archive(answer.decision, answer.storedAnswer, answer.movedTo);
 }
 
 template <class Archive> void serialize(Archive& archive, peer_state& state)
--- a/libs/platform/src/record_codec.cpp
+++ b/libs/platform/src/record_codec.cpp
@@ -91,7 +91,7 @@
     }
     record_body readSnapshot(const json& j)
     {
-        agreed_data data;
+        replicated_data data;
         data.asOf = offsetAt(j, "as_of");
         const auto& c = j.at("configuration");
         data.configuration = { c.at("version"), offsetAt(c, "offset"), c.at("text"), c.at("author"), c.at("hash") };
--- a/libs/platform/tests/test_record_codec.cpp
+++ b/libs/platform/tests/test_record_codec.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-agreed_data someData()
+replicated_data someData()
 {
-    agreed_data data;
+    replicated_data data;
     data.asOf = { 77 };
     data.configuration = { 3, { 12 }, "{ \"text\": \"\xc4\x8d\" }", "anna", 99 };
     data.leases["r/s"] = { { "a", 5 }, { 10 }, { 20 } };
--- a/tools/bench/decision_bench.cpp
+++ b/tools/bench/decision_bench.cpp
@@ -72,13 +72,13 @@
         shape.prefixHash = static_cast<std::uint64_t>(i) * 7919;
         shape.account = static_cast<std::uint64_t>(i % 15'000);
         const instant now = start + std::chrono::microseconds(185 * i);
-        const auto id = traffic.arrive(shape, now, commands);
+        const auto id = traffic.admit(shape, now, commands);
         const auto* started = std::get_if<start_attempt>(&commands.back());
         if (!started)
             return;
         const auto attempt = started->attempt;
         commands.clear();
-        traffic.ended(id, attempt, attempt_result::answered, now, commands);
+        traffic.onAttemptEnded(id, attempt, attempt_result::answered, now, commands);
     });
     const double tick = microsecondsEach(1000, [&](int i) {
         commands.clear();
@@ -107,7 +107,7 @@
     membership members("self", {}, 1);
     const instant now(fromSeconds(1000));
     for (int i = 0; i < nodes; ++i)
-        members.heard(peerNumber(i), now);
+        members.recordHeartbeat(peerNumber(i), now);
     heartbeat message;
     message.sender = peerNumber(1);
     for (std::uint32_t i = 0; i < 48; ++i)
@@ -118,9 +118,9 @@
     const double encode = microsecondsEach(20'000, [&](int) { encodeHeartbeat(message); });
     const double take = microsecondsEach(20'000, [&](int i) {
         const auto read = decodeHeartbeat(bytes);
-        members.heard(read->sender, now + std::chrono::milliseconds(i));
+        members.recordHeartbeat(read->sender, now + std::chrono::milliseconds(i));
     });
-    const double pick = microsecondsEach(2'000, [&](int) { members.recipients(now); });
+    const double pick = microsecondsEach(2'000, [&](int) { members.heartbeatRecipients(now); });
     const double alive = microsecondsEach(2'000, [&](int) { members.alive(now); });
     std::printf("%4d nodes: heartbeat %zu bytes, encode %.1f us, take %.1f us, recipients %.1f us, alive %.1f us\n",
         nodes, bytes.size(), encode, take, pick, alive);
@@ -145,15 +145,15 @@
     text += "]}";
     page.items.push_back({ { 0 }, log_record { { 0 }, { { "op", 1 }, 1 }, publication_record { 0, text, "op" } } });
     page.end = { 1 };
-    control.pageRead(page, now);
+    control.onLogPage(page, now);
     const double read = microsecondsEach(1, [&](int) { control.tick(now); });
     for (int i = 0; i < nodes; ++i)
-        control.peerHeard(peerNumber(i), now);
+        control.onHeartbeat(peerNumber(i), now);
     for (int m = 0; m < models; ++m) {
         for (int i = 0; i < runners / models; ++i) {
             target_view view;
             view.isKnown = true;
-            control.targetSeen("r" + std::to_string(m * 1000 + i), view);
+            control.onTargetView("r" + std::to_string(m * 1000 + i), view);
         }
     }
     const double tick = microsecondsEach(200, [&](int) {
@@ -163,7 +163,7 @@
     std::printf(
         "%4d nodes, %d runners, %d models: control tick %.0f us, new text of %zu bytes read and checked in %.0f us\n",
         nodes, runners, models, tick, text.size(), read);
-    const auto snapshot = encodeRecord({ { "self", 1 }, 1 }, snapshot_record { control.agreed().data() });
+    const auto snapshot = encodeRecord({ { "self", 1 }, 1 }, snapshot_record { control.replicated().data() });
     std::printf("      snapshot record %zu bytes\n", snapshot.size());
 }
 
@@ -187,8 +187,8 @@
     const auto home = registry.issue(now);
     const double each = microsecondsEach(keys, [&](int i) {
         const auto key = "app/key-" + std::to_string(i);
-        registry.requested(key, home, now);
-        registry.answered(key, std::string(200, 'x'), now);
+        registry.onRequest(key, home, now);
+        registry.onAnswer(key, std::string(200, 'x'), now);
     });
     const double sweep = microsecondsEach(1, [&](int) { registry.tick(now + std::chrono::seconds(60)); });
     std::printf("%d keys with answers of 200 bytes: %.2f us each, %.1f MB, sweep %.0f us\n", keys, each,
