--- a/libs/serving/tests/model/random_fleets.h
+++ b/libs/serving/tests/model/random_fleets.h
@@ -1,14 +1,14 @@
-// Fleets drawn at random from the kinds that the users describe, so that no decision is fitted to the few known ones.
+// Draws random fleets from the ranges of the known deployments, so that no decision is fitted to those few.
 #pragma once
 
-#include "fleet_sheet.h"
+#include "fleet_profile.h"
 
 #include <cstdint>
 
 namespace tamarack::serving::tests {
 
-/// The same for the same seed. Loads go from a third to half above what fits; the mix swings; engines are lost, slow or
-/// failing, and nodes are started anew.
-fleet_sheet randomFleet(std::uint64_t seed, duration length);
+/// Returns the same fleet for the same seed. The load is between a third of the capacity and half above it; the mix of
+/// requests swings, engines are lost, slow or failing, and nodes restart.
+fleet_profile randomFleet(std::uint64_t seed, duration length);
 
 }
--- a/libs/serving/tests/model/request_maker.cpp
+++ b/libs/serving/tests/model/request_generator.cpp
@@ -1,5 +1,5 @@
-// Sizes, beginnings and worth.
-#include "request_maker.h"
+// Implements the sizes, prefixes and values of generated requests.
+#include "request_generator.h"
 
 #include <algorithm>
 #include <cmath>
@@ -9,15 +9,16 @@
 
 namespace {
 
-    constexpr double sizeShare = 0.7; ///< of a request's worth goes by its size
-    constexpr double longestSize = 4; ///< in means, that is worth more
-    constexpr double outputWeight = 10; ///< a token written counts as so many read
+    constexpr double valueBySizeShare = 0.7; ///< the share of a request's value that depends on its size
+    constexpr double maxValuedSize = 4; ///< the size, as a multiple of the mean, above which the value stays the same
+    constexpr double outputWeight = 10; ///< a decoded token counts as this many prefilled ones
 
     double sizeOf(double in, double out) { return in + outputWeight * out; }
 
 }
 
-request_maker::request_maker(const std::vector<request_sheet>& kinds, int tokensPerEvent, random_source& random)
+request_generator::request_generator(
+    const std::vector<request_profile>& kinds, int tokensPerEvent, random_source& random)
     : m_kinds(kinds)
     , m_tokensPerEvent(tokensPerEvent)
     , m_random(random)
@@ -26,7 +27,7 @@
         std::vector<std::int64_t> sizes;
         std::vector<double> popularity;
         double sum = 0;
-        for (int i = 0; i < kind.beginnings; ++i) {
+        for (int i = 0; i < kind.prefixes; ++i) {
             sizes.push_back(static_cast<std::int64_t>(size(kind.shared)));
             sum += std::pow(i + 1, -kind.skew);
             popularity.push_back(sum);
@@ -35,13 +36,13 @@
         for (int i = 0; i < kind.groups; ++i)
             common.push_back(static_cast<std::int64_t>(size(kind.common)));
         m_groups.push_back(std::move(common));
-        m_beginnings.push_back(std::move(sizes));
+        m_prefixes.push_back(std::move(sizes));
         m_popularity.push_back(std::move(popularity));
     }
 }
 
-// Box and Muller's way to a normal deviate.
-double request_maker::size(const size_spread& spread)
+// Draws a log-normal size with the Box-Muller transform.
+double request_generator::size(const size_spread& spread)
 {
     const double mu = std::log(spread.mean) - spread.spread * spread.spread / 2;
     const double radius = std::sqrt(-2 * std::log(1 - m_random.unit()));
@@ -49,42 +50,42 @@
     return std::clamp(std::exp(mu + spread.spread * normal), 1.0, spread.max);
 }
 
-prompt request_maker::makePrompt(std::size_t kind)
+prompt request_generator::makePrompt(std::size_t kind)
 {
     const auto& popularity = m_popularity[kind];
     const auto place = std::lower_bound(popularity.begin(), popularity.end(), m_random.unit() * popularity.back());
     const auto index = static_cast<std::size_t>(place - popularity.begin());
     constexpr std::uint64_t firstGroup = 1 << 19;
-    const std::uint64_t ofKind = kind << 20;
+    const std::uint64_t kindBase = kind << 20;
     const auto& groups = m_groups[kind];
     prompt text;
     if (!groups.empty()) {
         const auto group = index % groups.size();
-        text.parts.push_back({ ofKind + firstGroup + group, groups[group] });
+        text.parts.push_back({ kindBase + firstGroup + group, groups[group] });
     }
-    text.parts.push_back({ ofKind + index + 1, m_beginnings[kind][index] });
+    text.parts.push_back({ kindBase + index + 1, m_prefixes[kind][index] });
     text.parts.push_back({ m_nextPart++, static_cast<std::int64_t>(size(m_kinds[kind].own)) });
     for (const auto& part : text.parts)
         text.inputTokens += part.tokens;
     return text;
 }
 
-made_request request_maker::make(std::size_t kind)
+generated_request request_generator::make(std::size_t kind)
 {
-    const auto& sheet = m_kinds[kind];
-    made_request out;
+    const auto& profile = m_kinds[kind];
+    generated_request out;
     out.kind = kind;
     out.text = makePrompt(kind);
     // The first event has one token.
-    const auto events = static_cast<std::int64_t>(std::ceil(size(sheet.events)));
+    const auto events = static_cast<std::int64_t>(std::ceil(size(profile.events)));
     out.outputTokens = (events - 1) * m_tokensPerEvent + 1;
     out.text.outputTokens = out.outputTokens;
     const double mean
-        = sizeOf(sheet.common.mean + sheet.shared.mean + sheet.own.mean, sheet.events.mean * m_tokensPerEvent);
+        = sizeOf(profile.common.mean + profile.shared.mean + profile.own.mean, profile.events.mean * m_tokensPerEvent);
     const double own = sizeOf(static_cast<double>(out.text.inputTokens), static_cast<double>(out.outputTokens)) / mean;
-    const double weight = std::min(longestSize, 1 - sizeShare + sizeShare * own);
-    out.owed = sheet.worth * weight;
-    out.owedLate = sheet.lateWorth * weight;
+    const double weight = std::min(maxValuedSize, 1 - valueBySizeShare + valueBySizeShare * own);
+    out.owed = profile.value * weight;
+    out.owedLate = profile.lateValue * weight;
     return out;
 }
 
--- a/libs/serving/tests/model/users_fleets.h
+++ b/libs/serving/tests/model/users_fleets.h
@@ -1,16 +1,16 @@
-// The users' deployments, as their sheets describe them, for the fleet model.
+// Provides the load profiles of the known deployments for the fleet model.
 #pragma once
 
 #include "fleet_model.h"
 
 namespace tamarack::serving::tests {
 
-fleet_sheet vodosletFleet();
-fleet_sheet vodosletGrownFleet();
-fleet_sheet vodosletLargeFleet();
-fleet_sheet ahnenhausFleet();
-fleet_sheet ahnenhausGrownFleet();
-fleet_sheet larrainFleet();
-fleet_sheet larrainGrownFleet();
+fleet_profile vodosletFleet();
+fleet_profile vodosletGrownFleet();
+fleet_profile vodosletLargeFleet();
+fleet_profile ahnenhausFleet();
+fleet_profile ahnenhausGrownFleet();
+fleet_profile larrainFleet();
+fleet_profile larrainGrownFleet();
 
 }
--- a/libs/serving/tests/test_load.cpp
+++ b/libs/serving/tests/test_load.cpp
@@ -21,14 +21,14 @@
 };
 
 /// Two runs of 34 s, with the swings of the mix of the load profile.
-load_result play(const fleet_sheet& sheet)
+load_result play(const fleet_profile& profile)
 {
     load_result sum;
     for (std::uint64_t seed = 1; seed <= 2; ++seed) {
-        const auto result = fleet_model(sheet, seed).run(std::chrono::seconds(34));
+        const auto result = fleet_model(profile, seed).run(std::chrono::seconds(34));
         sum.longEarned += result.kinds[longPrompts].earned / result.kinds[longPrompts].owed / 2;
         sum.smallEarned += result.kinds[smallPrompts].earned / result.kinds[smallPrompts].owed / 2;
-        sum.millionTokensRecomputed += result.beginningsReadAgain / 1e6;
+        sum.millionTokensRecomputed += result.recomputedTokens / 1e6;
     }
     std::printf("earned: long %.4f, small %.4f; %.2f million tokens read again\n", sum.longEarned, sum.smallEarned,
         sum.millionTokensRecomputed);
@@ -65,10 +65,10 @@
     // events. If a node learned only later changes, prefixes that the fleet has cached would be prefilled again for the
     // rest of the run. Without a snapshot from a peer 13 million tokens were prefilled again and 0.806 of the long
     // prompts' value was earned; with one 4.3 million and 0.864.
-    auto sheet = ahnenhausGrownFleet();
-    sheet.prefillShare = 0.5;
-    sheet.restarts = { { std::chrono::seconds(17), 0.9, true } };
-    const auto played = play(sheet);
+    auto profile = ahnenhausGrownFleet();
+    profile.prefillShare = 0.5;
+    profile.restarts = { { std::chrono::seconds(17), 0.9, true } };
+    const auto played = play(profile);
     CHECK(played.millionTokensRecomputed <= 6);
     CHECK(played.longEarned >= 0.85);
 }
@@ -80,8 +80,8 @@
     // is overloaded: 0.46 of all, and 0.55 of those of small prompts. With the sum counted it is 0.35 at most.
     fleet_result sum;
     for (std::uint64_t seed = 1; seed <= 2; ++seed) {
-        auto sheet = larrainFleet();
-        const auto result = fleet_model(std::move(sheet), seed).run(std::chrono::seconds(20));
+        auto profile = larrainFleet();
+        const auto result = fleet_model(std::move(profile), seed).run(std::chrono::seconds(20));
         sum.kinds.resize(result.kinds.size());
         for (std::size_t kind = 0; kind < result.kinds.size(); ++kind) {
             sum.kinds[kind].asked += result.kinds[kind].asked;
@@ -105,10 +105,10 @@
     std::int64_t asked = 0;
     std::int64_t paused = 0;
     for (std::uint64_t seed = 1; seed <= 2; ++seed) {
-        auto sheet = larrainFleet();
-        for (auto& kind : sheet.kinds)
+        auto profile = larrainFleet();
+        for (auto& kind : profile.kinds)
             kind.perSecond *= 1.25;
-        const auto result = fleet_model(std::move(sheet), seed).run(std::chrono::seconds(20));
+        const auto result = fleet_model(std::move(profile), seed).run(std::chrono::seconds(20));
         asked += result.kinds[longPrompts].asked;
         paused += result.kinds[longPrompts].lateForPause;
     }
--- a/tools/bench/serving_bench.cpp
+++ b/tools/bench/serving_bench.cpp
@@ -19,7 +19,7 @@
 
 struct named_fleet {
     const char* name;
-    fleet_sheet (*make)();
+    fleet_profile (*make)();
 };
 
 constexpr named_fleet fleets[] {
@@ -73,8 +73,8 @@
         add(sum.kinds[i], one.kinds[i]);
     sum.owed += one.owed;
     sum.earned += one.earned;
-    sum.tokensRead += one.tokensRead;
-    sum.beginningsReadAgain += one.beginningsReadAgain;
+    sum.prefilledTokens += one.prefilledTokens;
+    sum.recomputedTokens += one.recomputedTokens;
     sum.transferredGigabytes += one.transferredGigabytes;
     sum.roleChanges += one.roleChanges;
     sum.connections += one.connections;
@@ -88,7 +88,7 @@
 void print(const std::string& name, const fleet_result& result)
 {
     std::printf("%-16s earned %.4f  read %.1f M, again %.2f M, moved %.0f GB, %d changes of role, %lld connections\n",
-        name.c_str(), result.earned / result.owed, result.tokensRead / 1e6, result.beginningsReadAgain / 1e6,
+        name.c_str(), result.earned / result.owed, result.prefilledTokens / 1e6, result.recomputedTokens / 1e6,
         result.transferredGigabytes, result.roleChanges, static_cast<long long>(result.connections));
     for (const auto& kind : result.kinds) {
         std::printf("    asked %7lld earned %.4f  late for the first event %.4f, for a pause %.4f, refused %.4f, "
@@ -115,7 +115,7 @@
         thread.join();
 }
 
-fleet_sheet changed(fleet_sheet sheet, const bench_options& given)
+fleet_profile changed(fleet_profile sheet, const bench_options& given)
 {
     if (given.prefillShare > 0)
         sheet.prefillShare = given.prefillShare;
