--- a/libs/serving/include/serving/dispatcher.h
+++ b/libs/serving/include/serving/dispatcher.h
@@ -25,7 +25,7 @@
         = std::chrono::seconds(1); ///< load reported by a peer expires after this time without an update
 };
 
-/// Schedules requests onto targets. Commands take effect immediately: a request is started, waits, or is rejected at
+/// Schedules requests onto targets. Commands take effect immediately: a request is started, waits, or is refused at
 /// once with a retry delay.
 class dispatcher {
 public:
@@ -43,7 +43,7 @@
     /// Sets the time without an update after which load reported by a peer expires.
     void setPeerLoadExpiry(duration expiry) { m_peers.setLife(expiry); }
     /// Records the outcomes of a peer's attempts.
-    void updatePeerHealth(const std::vector<health_news>& news, instant now);
+    void updatePeerHealth(const std::vector<health_news>& reports, instant now);
     /// Outcomes of this node's attempts since the last call, to be sent to the peers.
     std::vector<health_news> takeHealthReports(instant now) { return m_health.takeNews(now); }
     /// Sets the number of known nodes, reachable or not, including this one. 0 if the number is unknown.
--- a/libs/serving/include/serving/retry_backoff.h
+++ b/libs/serving/include/serving/retry_backoff.h
@@ -6,8 +6,9 @@
 namespace tamarack::serving {
 
 /// Exponential backoff. Without it, every node asks the store several times a second while the store is away, and each
-/// such call is paid for. With 82 nodes at 0.15 s an outage of 9 s took some 5,000 calls, six times those of a calm
-/// day. The first repetition comes soon, since most failures are of one call; each further one waits twice as long.
+/// such call is paid for. With 82 nodes at 0.15 s an outage of 9 s took some 5,000 calls, six times those of a
+/// normal day. The first repetition comes soon, since most failures are of one call; each further one waits twice as
+/// long.
 class retry_backoff {
 public:
     retry_backoff(duration first, duration longest)
--- a/libs/serving/src/dispatcher.cpp
+++ b/libs/serving/src/dispatcher.cpp
@@ -88,9 +88,9 @@
     }
 }
 
-void dispatcher::updatePeerHealth(const std::vector<health_news>& news, instant now)
+void dispatcher::updatePeerHealth(const std::vector<health_news>& reports, instant now)
 {
-    for (const auto& item : news) {
+    for (const auto& item : reports) {
         if (const target_id target = m_fleet.findHash(item.target); target.isValid())
             m_health.told(target, item, now);
     }
@@ -158,7 +158,7 @@
 bool dispatcher::tryStart(std::size_t row, instant now, command_list& out)
 {
     // Checked again here, not only when the retry is requested: several waiting requests may each have been allowed a
-    // retry before any of them was sent, and they are all sent together when a slot becomes free.
+    // retry before any of them was sent, and all of them are sent together when a slot becomes free.
     if (!mayRetry(row, now)) {
         endWithFailure(row, error_kind::overloaded, out);
         return true;
--- a/libs/serving/src/duty_assignment.cpp
+++ b/libs/serving/src/duty_assignment.cpp
@@ -18,8 +18,8 @@
 
 namespace {
 
-    /// A reader sends 20 changes at once to 80 peers, which takes 0.3 s on a link of 10 Mbit/s. Its send queue drops
-    /// what does not fit, and every node that missed a part reads the store.
+    /// A reader needs a wide link: sending 20 changes at once to 80 peers takes 0.3 s on a link of 10 Mbit/s. Its send
+    /// queue drops what does not fit, and every node that missed a part reads the store.
     bool hasWidestLink(const node_state& self, const std::vector<node_state>& others)
     {
         return std::none_of(others.begin(), others.end(),
