--- a/libs/serving/src/dispatcher.cpp
+++ b/libs/serving/src/dispatcher.cpp
@@ -88,9 +88,9 @@
     }
 }
 
-void dispatcher::updatePeerHealth(const std::vector<health_report>& news, instant now)
+void dispatcher::updatePeerHealth(const std::vector<health_report>& reports, instant now)
 {
-    for (const auto& item : news) {
+    for (const auto& item : reports) {
         if (const target_id target = m_fleet.findByHash(item.target); target.isValid())
             m_health.applyPeerReport(target, item, now);
     }
@@ -158,7 +158,7 @@
 bool dispatcher::tryStart(std::size_t row, instant now, command_list& out)
 {
     // Checked again here, not only when the retry is requested: several waiting requests may each have been allowed a
-    // retry before any of them was sent, and they are all sent together when a slot becomes free.
+    // retry before any of them was sent, and all of them are sent together when a slot becomes free.
     if (!mayRetry(row, now)) {
         endWithFailure(row, error_kind::overloaded, out);
         return true;
