--- a/libs/decide/include/decide/role_planner.h
+++ b/libs/decide/include/decide/role_planner.h
@@ -24,7 +24,7 @@
 struct role_demand {
     double prefillEngines = 0; ///< engines needed for the prefill of arriving prompts
     double decodeEngines = 0; ///< engines needed for the decode of the answers
-    double refusedEngines = 0; ///< share of the above that was refused for lack of capacity, in engines
+    double refusedEngines = 0; ///< part of the above that was refused for lack of capacity
 };
 
 /// Number of engines of each role.
--- a/libs/decide/tests/authority_world.cpp
+++ b/libs/decide/tests/control_simulation.cpp
@@ -1,5 +1,5 @@
 // Simulated nodes, log, network and engines.
-#include "authority_world.h"
+#include "control_simulation.h"
 
 #include <algorithm>
 
@@ -18,7 +18,7 @@
 
 }
 
-authority_world::authority_world(world_settings settings)
+control_simulation::control_simulation(simulation_settings settings)
     : m_settings(settings)
     , m_random(settings.seed * 7919 + 17)
     , m_now(instant(duration(1'000'000'000)))
@@ -36,7 +36,7 @@
     }
 }
 
-void authority_world::startNode(world_node& node)
+void control_simulation::startNode(simulated_node& node)
 {
     const instance_id self { node.name, node.incarnation };
     lease_settings leases { 2s, m_settings.margin, 300ms };
@@ -50,7 +50,7 @@
     node.sequence = 0;
     node.leases = std::make_unique<lease_system>(self, leases);
     node.orders = std::make_unique<order_system>(self, orders, m_settings.safeguards);
-    world_node* at = &node;
+    simulated_node* at = &node;
     node.follower = std::make_unique<log_follower>([this, at](const log_record& record, verdict v) {
         at->leases->onLogRecord(record, v, localNow(*at));
         at->orders->onLogRecord(record, v, localNow(*at));
@@ -58,17 +58,17 @@
     node.leases->setLeases({ { lease, static_cast<int>(m_random.below(3)) } });
 }
 
-instant authority_world::localNow(const world_node& node) const
+instant control_simulation::localNow(const simulated_node& node) const
 {
     const auto since = static_cast<double>(m_now.time_since_epoch().count());
     return instant(duration(static_cast<duration::rep>(since * node.clockRate)));
 }
 
-bool authority_world::chance(double perSecond) { return m_random.unit() < perSecond * seconds(tick); }
+bool control_simulation::chance(double perSecond) { return m_random.unit() < perSecond * seconds(tick); }
 
-duration authority_world::randomDelay(double longest) { return fromSeconds(m_random.unit() * longest); }
+duration control_simulation::randomDelay(double longest) { return fromSeconds(m_random.unit() * longest); }
 
-world_result authority_world::run()
+simulation_result control_simulation::run()
 {
     const instant end = m_now + fromSeconds(m_settings.seconds);
     while (m_now < end) {
@@ -83,7 +83,7 @@
     return m_result;
 }
 
-void authority_world::stepFaults()
+void control_simulation::stepFaults()
 {
     if (chance(0.02) && m_now >= m_logDownUntil)
         m_logDownUntil = m_now + randomDelay(6);
@@ -114,7 +114,7 @@
     }
 }
 
-void authority_world::readLog(world_node& node)
+void control_simulation::readLog(simulated_node& node)
 {
     if (node.isCutFromLog || m_now < m_logDownUntil)
         return;
@@ -124,7 +124,7 @@
     node.follower->applyPage(page);
 }
 
-void authority_world::adoptFromPeer(world_node& node)
+void control_simulation::adoptFromPeer(simulated_node& node)
 {
     const auto& peer = m_nodes[m_random.below(m_nodes.size())];
     if (&peer == &node || !peer.isAlive || m_now < peer.frozenUntil)
@@ -137,7 +137,7 @@
     node.orders->onStateRestored(state, localNow(node));
 }
 
-void authority_world::append(world_node& node, const record_body& body)
+void control_simulation::append(simulated_node& node, const record_body& body)
 {
     const auto sequence = ++node.sequence;
     node.leases->onAppendSent(body, sequence, localNow(node));
@@ -152,9 +152,9 @@
     m_pendingAppends.push_back({ scheduledAt, { { node.name, node.incarnation }, sequence }, body });
 }
 
-void authority_world::stepNode(std::size_t index)
+void control_simulation::stepNode(std::size_t index)
 {
-    world_node& node = m_nodes[index];
+    simulated_node& node = m_nodes[index];
     if (!node.isAlive || m_now < node.frozenUntil)
         return;
     const instant local = localNow(node);
@@ -212,7 +212,7 @@
     }
 }
 
-void authority_world::executeOrder(
+void control_simulation::executeOrder(
     engine& target, const deliver_order& order, std::size_t node, std::uint64_t incarnation)
 {
     const std::int64_t number = order.fence.value;
@@ -238,7 +238,7 @@
             { node, incarnation, m_now + bufferedBytesLifetime + 1s, order.order, delivery_result::closed });
 }
 
-void authority_world::stepNetwork()
+void control_simulation::stepNetwork()
 {
     std::stable_sort(m_pendingAppends.begin(), m_pendingAppends.end(),
         [](const auto& a, const auto& b) { return a.appendedAt < b.appendedAt; });
@@ -274,7 +274,7 @@
     std::erase_if(m_answers, [&](const auto& item) { return item.node == m_nodes.size(); });
 }
 
-void authority_world::stepEngines()
+void control_simulation::stepEngines()
 {
     for (auto& target : m_engines) {
         if (target.isChanging && m_now >= target.changesUntil) {
@@ -284,7 +284,7 @@
     }
 }
 
-void authority_world::checkHolders()
+void control_simulation::checkHolders()
 {
     int holders = 0;
     for (const auto& node : m_nodes) {
@@ -292,7 +292,7 @@
             && node.leases->holds(lease, node.follower->state(), localNow(node)))
             ++holders;
     }
-    m_result.doubleHolders += holders > 1;
+    m_result.concurrentHolders += holders > 1;
     for (const auto& node : m_nodes) {
         const auto term = node.follower->state().lease(lease).term;
         if (term > m_lastTerm || !m_lastTerm.isValid()) {
--- a/libs/decide/tests/authority_world.h
+++ b/libs/decide/tests/control_simulation.h
@@ -13,7 +13,7 @@
 
 namespace tamarack::test {
 
-struct world_settings {
+struct simulation_settings {
     std::uint64_t seed = 1;
     bool checksFencing = true;
     order_safeguards safeguards;
@@ -22,20 +22,20 @@
     bool peerStateCountsAsSeen = true; ///< the lease system is notified when a peer's state is adopted
 };
 
-struct world_result {
+struct simulation_result {
     int conflicts = 0; ///< times an engine accepted an older order after a newer one
     int staleEffects = 0; ///< times an engine accepted an order that the log had closed or replaced by a different one
-    int doubleHolders = 0; ///< steps at which two nodes considered themselves holder of the lease
+    int concurrentHolders = 0; ///< steps at which two nodes considered themselves holder of the lease
     int orders = 0; ///< orders accepted by engines
     int takeOvers = 0; ///< lease terms
     int events = 0; ///< decisions and faults, as a measure of coverage
     int closed = 0; ///< orders closed because their effect was seen
 };
 
-class authority_world {
+class control_simulation {
 public:
-    explicit authority_world(world_settings settings);
-    world_result run();
+    explicit control_simulation(simulation_settings settings);
+    simulation_result run();
 
 private:
     struct appended {
@@ -75,7 +75,7 @@
         instant changesUntil;
         bool isChanging = false;
     };
-    struct world_node {
+    struct simulated_node {
         std::string name;
         std::uint64_t incarnation = 1;
         bool isAlive = true;
@@ -91,25 +91,25 @@
         std::unique_ptr<log_follower> follower;
     };
 
-    void startNode(world_node& node);
+    void startNode(simulated_node& node);
     void stepFaults();
     void stepNode(std::size_t index);
     void stepNetwork();
     void stepEngines();
-    void readLog(world_node& node);
-    void adoptFromPeer(world_node& node);
-    void append(world_node& node, const record_body& body);
+    void readLog(simulated_node& node);
+    void adoptFromPeer(simulated_node& node);
+    void append(simulated_node& node, const record_body& body);
     void executeOrder(engine& target, const deliver_order& order, std::size_t node, std::uint64_t incarnation);
     void checkHolders();
     bool chance(double perSecond);
-    instant localNow(const world_node& node) const;
+    instant localNow(const simulated_node& node) const;
     duration randomDelay(double longest);
 
-    world_settings m_settings;
+    simulation_settings m_settings;
     random_source m_random;
-    world_result m_result;
+    simulation_result m_result;
     instant m_now;
-    std::vector<world_node> m_nodes;
+    std::vector<simulated_node> m_nodes;
     std::vector<engine> m_engines;
     std::vector<log_record> m_log;
     replicated_state m_truth; // state after all records of the log
--- a/libs/decide/tests/test_key_registry.cpp
+++ b/libs/decide/tests/test_key_registry.cpp
@@ -83,9 +83,9 @@
 namespace {
 
 /// Simulation of several nodes and a caller that retries each key through any of them, with lost messages and restarts.
-class key_world {
+class key_simulation {
 public:
-    key_world(std::uint64_t seed, bool honorsIssueTime)
+    key_simulation(std::uint64_t seed, bool honorsIssueTime)
         : m_random(seed)
         , m_honorsIssueTime(honorsIssueTime)
     {
@@ -199,7 +199,7 @@
 {
     int doubles = 0, unknown = 0, answered = 0, tries = 0;
     for (std::uint64_t seed = 1; seed <= 2000; ++seed) {
-        key_world world(seed, true);
+        key_simulation world(seed, true);
         world.run();
         doubles += world.doubles;
         unknown += world.unknown;
@@ -216,7 +216,7 @@
     // Control for the test above: a home that treats every unknown key as new runs some requests twice.
     int doubles = 0;
     for (std::uint64_t seed = 1; seed <= 200; ++seed) {
-        key_world world(seed, false);
+        key_simulation world(seed, false);
         world.run();
         doubles += world.doubles;
     }
--- a/libs/decide/tests/test_authority.cpp
+++ b/libs/decide/tests/test_leases_and_orders.cpp
@@ -1,5 +1,5 @@
 // Invariants of leases and orders under random interleavings of faults.
-#include "authority_world.h"
+#include "control_simulation.h"
 #include "decide/control_system.h"
 
 #include <algorithm>
@@ -22,24 +22,26 @@
 
 const int seeds = seedCount();
 
-world_result total(const world_settings& base, int count = seeds)
+simulation_result total(const simulation_settings& base, int count = seeds)
 {
-    world_result sum;
+    simulation_result sum;
     for (int seed = 1; seed <= count; ++seed) {
-        world_settings settings = base;
+        simulation_settings settings = base;
         settings.seed = static_cast<std::uint64_t>(seed);
-        const auto one = authority_world(settings).run();
+        const auto one = control_simulation(settings).run();
         sum.conflicts += one.conflicts;
         sum.staleEffects += one.staleEffects;
-        sum.doubleHolders += one.doubleHolders;
+        sum.concurrentHolders += one.concurrentHolders;
         sum.orders += one.orders;
         sum.takeOvers += one.takeOvers;
         sum.events += one.events;
         sum.closed += one.closed;
     }
-    std::printf("%d worlds: %d orders taken, %d closed by effect, %d terms, %d events, %d conflicts, %d stale effects, "
-                "%d double holders\n",
-        count, sum.orders, sum.closed, sum.takeOvers, sum.events, sum.conflicts, sum.staleEffects, sum.doubleHolders);
+    std::printf(
+        "%d simulations: %d orders taken, %d closed by effect, %d terms, %d events, %d conflicts, %d stale effects, "
+        "%d double holders\n",
+        count, sum.orders, sum.closed, sum.takeOvers, sum.events, sum.conflicts, sum.staleEffects,
+        sum.concurrentHolders);
     return sum;
 }
 
@@ -49,11 +51,11 @@
 {
     // The holder freezes between its lease check and the write, a successor issues a different order, and the holder
     // resumes. Without a fencing token the engine would accept the outdated order and change to a superseded role.
-    world_settings settings;
+    simulation_settings settings;
     const auto result = total(settings);
     CHECK(result.conflicts == 0);
     CHECK(result.staleEffects == 0);
-    CHECK(result.doubleHolders == 0);
+    CHECK(result.concurrentHolders == 0);
     CHECK(result.orders > seeds * 5);
     CHECK(result.closed > seeds);
 }
@@ -62,12 +64,12 @@
 {
     // The same scenario at an engine that does not check fencing tokens: a successor must not issue an order while the
     // frozen holder's copy can still arrive.
-    world_settings settings;
+    simulation_settings settings;
     settings.checksFencing = false;
     const auto result = total(settings);
     CHECK(result.conflicts == 0);
     CHECK(result.staleEffects == 0);
-    CHECK(result.doubleHolders == 0);
+    CHECK(result.concurrentHolders == 0);
     CHECK(result.orders > seeds * 2);
     CHECK(result.closed > seeds);
 }
@@ -75,7 +77,7 @@
 TEST_CASE("test_stale_effects_appear_without_raising_the_fence_first")
 {
     // Control for the tests above: without the safeguards the same simulations show the fault.
-    world_settings settings;
+    simulation_settings settings;
     settings.safeguards.reissueBeforeNew = false;
     settings.safeguards.adoptOpenOrders = false;
     CHECK(total(settings).staleEffects > 0);
@@ -83,7 +85,7 @@
 
 TEST_CASE("test_conflicts_appear_without_adopting_open_orders")
 {
-    world_settings settings;
+    simulation_settings settings;
     settings.checksFencing = false;
     settings.safeguards.adoptOpenOrders = false;
     CHECK(total(settings).conflicts > 0);
@@ -91,7 +93,7 @@
 
 TEST_CASE("test_conflicts_appear_with_repeated_delivery")
 {
-    world_settings settings;
+    simulation_settings settings;
     settings.checksFencing = false;
     settings.safeguards.singleDelivery = false;
     CHECK(total(settings).conflicts > 0);
@@ -100,18 +102,18 @@
 TEST_CASE("test_two_holders_appear_without_the_margin")
 {
     // If a challenger does not allow for clock drift, two nodes briefly act under the same lease.
-    world_settings settings;
+    simulation_settings settings;
     settings.margin = -std::chrono::milliseconds(1000);
-    CHECK(total(settings).doubleHolders > 0);
+    CHECK(total(settings).concurrentHolders > 0);
 }
 
 TEST_CASE("test_two_holders_appear_when_a_peers_state_does_not_count_as_seen")
 {
     // A node freezes, another claims the lease and renews it, and the first node resumes and adopts a peer's state. If
     // it dates the lease's last record from before the freeze, two nodes act under the lease for up to its length.
-    world_settings settings;
+    simulation_settings settings;
     settings.peerStateCountsAsSeen = false;
-    CHECK(total(settings).doubleHolders > 0);
+    CHECK(total(settings).concurrentHolders > 0);
 }
 
 TEST_CASE("test_thawed_node_leaves_the_lease_to_the_holder_it_learns_of")
--- a/libs/decide/tests/test_membership.cpp
+++ b/libs/decide/tests/test_membership.cpp
@@ -67,7 +67,7 @@
         CHECK(ready.state(at(1)) == readiness_state::starting);
         ready.onLogResponse(true, at(1));
         CHECK(ready.state(at(1)) == readiness_state::ready);
-        SECTION("a newer version elsewhere is given some time")
+        SECTION("a newer version at a peer is tolerated for some time")
         {
             ready.onHeartbeat(5, at(2));
             CHECK(ready.state(at(4)) == readiness_state::ready);
@@ -83,7 +83,7 @@
             CHECK(ready.state(at(6.5)) == readiness_state::ready);
             CHECK(ready.state(at(7.5)) == readiness_state::cut_off);
         }
-        SECTION("peers that lack the log too keep each other going")
+        SECTION("peers without access to the log stay ready while they exchange heartbeats")
         {
             ready.setHasPeers(true);
             for (int i = 2; i < 60; ++i)
--- a/libs/decide/tests/test_replicated_state.cpp
+++ b/libs/decide/tests/test_replicated_state.cpp
@@ -146,7 +146,7 @@
 TEST_CASE("test_every_record_counts_at_most_once")
 {
     // Appends are repeated after lost answers, so duplicating any record of a log must not change the state.
-    CHECK(rc::check("doubling a record changes nothing but offsets", [] {
+    CHECK(rc::check("duplicating a record changes nothing but offsets", [] {
         const auto records = randomLog();
         const auto doubled = static_cast<std::size_t>(*rc::gen::inRange<int>(0, static_cast<int>(records.size())));
         replicated_state state;
@@ -226,14 +226,14 @@
     CHECK(follower.hasGap());
     CHECK_FALSE(follower.hasReachedEnd());
     CHECK(follower.state().configuration().version == 1);
-    SECTION("a snapshot bridges it")
+    SECTION("a snapshot covers it")
     {
         log.add(a, snapshot_record { log.state.data() });
         follower.applyPage(pageOf(log.records, 2, follower.readFrom().value));
         CHECK_FALSE(follower.hasGap());
         CHECK(follower.state().configuration().version == 3);
     }
-    SECTION("a peer's state bridges it")
+    SECTION("a peer's state covers it")
     {
         CHECK(follower.adopt(log.state.data()));
         CHECK(follower.state().configuration().version == 3);
