--- a/libs/decide/include/decide/control_system.h
+++ b/libs/decide/include/decide/control_system.h
@@ -53,7 +53,7 @@
     control_system(control_identity self, control_settings settings, instant now);
 
     void onLogPage(const decoded_page& page, instant now);
-    void onHeartbeat(const peer_state& state, instant now);
+    void onPeerHeartbeat(const peer_state& state, instant now);
     /// A peer reports this incarnation of a node; it may be newer than that in the node's last heartbeat.
     void onPeerIncarnation(const instance_id& instance, instant now);
     /// Adopts the replicated state of a peer if it is ahead of this node's.
--- a/libs/decide/include/decide/membership.h
+++ b/libs/decide/include/decide/membership.h
@@ -57,7 +57,7 @@
 public:
     membership(std::string self, membership_settings settings, std::uint64_t seed);
 
-    void recordHeartbeat(const peer_state& state, instant now);
+    void applyHeartbeat(const peer_state& state, instant now);
     void updateVmList(const std::vector<listed_vm>& vms, instant now);
 
     /// Nodes whose last heartbeat is not older than the peer timeout, without this node.
--- a/libs/decide/include/decide/readiness.h
+++ b/libs/decide/include/decide/readiness.h
@@ -33,13 +33,13 @@
     explicit readiness(readiness_settings settings, instant startedAt);
 
     void onLogResponse(bool endReached, instant now);
-    void onHeartbeat(std::uint64_t version, instant now);
+    void onPeerHeartbeat(std::uint64_t version, instant now);
     void setAppliedVersion(std::uint64_t version, instant now);
     void setHasPeers(bool known) { m_hasPeers = known; }
     void setStopping() { m_isStopping = true; }
 
     readiness_state state(instant now) const;
-    bool acceptsRequests(instant now) const { return state(now) == readiness_state::ready; }
+    bool acceptsWork(instant now) const { return state(now) == readiness_state::ready; }
     std::uint64_t newestPeerVersion() const { return m_newestPeerVersion; }
     /// Whether the log has responded within the isolation timeout.
     bool isLogReachable(instant now) const;
--- a/libs/decide/include/decide/target_table.h
+++ b/libs/decide/include/decide/target_table.h
@@ -38,7 +38,7 @@
     /// Applies a report unless a newer one is known.
     void report(target_id id, const load_report& load);
     /// Whether new requests may be sent to the target.
-    bool acceptsRequests(target_id id, instant now) const;
+    bool acceptsWork(target_id id, instant now) const;
 
     // Columns, all of one length.
     std::vector<std::string> name;
--- a/libs/decide/include/decide/traffic_system.h
+++ b/libs/decide/include/decide/traffic_system.h
@@ -42,16 +42,16 @@
     /// Adds a new request. On return `out` may already contain its start or its refusal.
     request_id admit(const request_shape& shape, instant now, traffic_commands& out);
     /// Stages decode and whole: `tokens` more output tokens were received.
-    void onTokens(request_id request, attempt_id attempt, std::int64_t tokens);
+    void tokensReceived(request_id request, attempt_id attempt, std::int64_t tokens);
     /// The target has completed the prefill.
-    void onPrefillDone(request_id request, attempt_id attempt);
+    void prefillCompleted(request_id request, attempt_id attempt);
     /// Stage prefill: the target returned the final answer, so no decode stage follows.
-    void onWholeAnswer(request_id request, attempt_id attempt);
+    void wholeAnswerReceived(request_id request, attempt_id attempt);
     /// The attempt has ended with the given result.
-    void onAttemptEnded(
+    void attemptEnded(
         request_id request, attempt_id attempt, attempt_result result, instant now, traffic_commands& out);
     /// The caller has disconnected; the request is removed and no further commands refer to it.
-    void onCallerGone(request_id request, instant now, traffic_commands& out);
+    void callerDisconnected(request_id request, instant now, traffic_commands& out);
     /// Starts queued requests where possible and refuses those that can no longer meet their deadline.
     void tick(instant now, traffic_commands& out);
 
--- a/libs/decide/src/control_system.cpp
+++ b/libs/decide/src/control_system.cpp
@@ -39,10 +39,10 @@
     m_ready.onLogResponse(m_follower.hasReachedEnd(), now);
 }
 
-void control_system::onHeartbeat(const peer_state& state, instant now)
+void control_system::onPeerHeartbeat(const peer_state& state, instant now)
 {
-    m_members.recordHeartbeat(state, now);
-    m_ready.onHeartbeat(state.configurationVersion, now);
+    m_members.applyHeartbeat(state, now);
+    m_ready.onPeerHeartbeat(state.configurationVersion, now);
     m_orders.onIncarnation(state.instance, now);
 }
 
@@ -286,7 +286,7 @@
     updateLeaseRanks(now);
     if (m_isStopping && !m_orders.hasUndelivered())
         m_leases.releaseAll();
-    const bool mayClaim = m_ready.acceptsRequests(now) && m_follower.hasReachedEnd();
+    const bool mayClaim = m_ready.acceptsWork(now) && m_follower.hasReachedEnd();
     for (auto& append : m_leases.step(replicated(), now, mayClaim))
         out.appends.push_back(std::move(append.body));
     if (m_configuration && !m_isStopping) {
--- a/libs/decide/src/membership.cpp
+++ b/libs/decide/src/membership.cpp
@@ -12,7 +12,7 @@
 {
 }
 
-void membership::recordHeartbeat(const peer_state& state, instant now)
+void membership::applyHeartbeat(const peer_state& state, instant now)
 {
     if (state.instance.node == m_self || !state.instance.isValid())
         return;
--- a/libs/decide/src/readiness.cpp
+++ b/libs/decide/src/readiness.cpp
@@ -25,7 +25,7 @@
     m_hasReadToEnd |= endReached;
 }
 
-void readiness::onHeartbeat(std::uint64_t version, instant now)
+void readiness::onPeerHeartbeat(std::uint64_t version, instant now)
 {
     m_hasHeartbeat = true;
     m_heartbeatAt = now;
--- a/libs/decide/src/router.cpp
+++ b/libs/decide/src/router.cpp
@@ -87,7 +87,7 @@
 bool router::isAdmissible(target_id id, const routing_request& request, const service_entry& service, int limit,
     const target_table& targets, instant now) const
 {
-    if (!targets.acceptsRequests(id, now))
+    if (!targets.acceptsWork(id, now))
         return false;
     if (targets.runningEstimate(id, now) + 1 > limit)
         return false;
--- a/libs/decide/src/target_table.cpp
+++ b/libs/decide/src/target_table.cpp
@@ -125,7 +125,7 @@
     ownPrefillAtReport[row] = ownPrefillTokens[row];
 }
 
-bool target_table::acceptsRequests(target_id id, instant now) const
+bool target_table::acceptsWork(target_id id, instant now) const
 {
     const auto row = id.value;
     if (service[row] < 0 || isLeaving[row] || isChanging[row] || isDraining[row])
--- a/libs/decide/src/traffic_estimates.cpp
+++ b/libs/decide/src/traffic_estimates.cpp
@@ -43,7 +43,7 @@
     int slots = 0;
     recoversSoon = false;
     for (const auto row : m_router.subset(service)) {
-        if (m_targets.acceptsRequests({ row }, now)) {
+        if (m_targets.acceptsWork({ row }, now)) {
             const bool runsDecode = m_targets.role[row] != engine_role::prefill;
             slots += runsDecode ? entry.slots : 1;
         } else if (!m_targets.isLeaving[row]) {
--- a/libs/decide/src/traffic_system.cpp
+++ b/libs/decide/src/traffic_system.cpp
@@ -133,7 +133,7 @@
     TAMARACK_ASSERT(m_targets.ownRunning[target] >= 0, "own work is counted once up and once down");
 }
 
-void traffic_system::onPrefillDone(request_id request, attempt_id attempt)
+void traffic_system::prefillCompleted(request_id request, attempt_id attempt)
 {
     if (!isCurrent(request, attempt))
         return;
@@ -142,14 +142,14 @@
     m_requests.prefillCharged[row] = 0;
 }
 
-void traffic_system::onTokens(request_id request, attempt_id attempt, std::int64_t tokens)
+void traffic_system::tokensReceived(request_id request, attempt_id attempt, std::int64_t tokens)
 {
     if (!isCurrent(request, attempt))
         return;
     m_requests.tokensDone[static_cast<std::size_t>(m_requests.row(request))] += tokens;
 }
 
-void traffic_system::onWholeAnswer(request_id request, attempt_id attempt)
+void traffic_system::wholeAnswerReceived(request_id request, attempt_id attempt)
 {
     if (isCurrent(request, attempt))
         m_requests.stage[static_cast<std::size_t>(m_requests.row(request))] = request_stage::whole;
@@ -239,7 +239,7 @@
     m_requests.remove(m_requests.idOf(row));
 }
 
-void traffic_system::onAttemptEnded(
+void traffic_system::attemptEnded(
     request_id request, attempt_id attempt, attempt_result result, instant now, traffic_commands& out)
 {
     if (!isCurrent(request, attempt)) {
@@ -290,7 +290,7 @@
     TAMARACK_ASSERT(false, "attempt result out of range");
 }
 
-void traffic_system::onCallerGone(request_id request, instant now, traffic_commands& out)
+void traffic_system::callerDisconnected(request_id request, instant now, traffic_commands& out)
 {
     const auto row = m_requests.row(request);
     if (row < 0)
--- a/libs/decide/tests/test_membership.cpp
+++ b/libs/decide/tests/test_membership.cpp
@@ -26,8 +26,8 @@
 TEST_CASE("test_late_heartbeat_of_an_older_incarnation_has_no_effect")
 {
     membership members("self", {}, 1);
-    members.recordHeartbeat(peer("b", 2), at(0));
-    members.recordHeartbeat(peer("b", 1), at(1));
+    members.applyHeartbeat(peer("b", 2), at(0));
+    members.applyHeartbeat(peer("b", 1), at(1));
     CHECK(members.newestInstance("b").incarnation == 2);
     CHECK(members.isAlive("b", at(2)));
     CHECK_FALSE(members.isAlive("b", at(3.5)));
@@ -53,7 +53,7 @@
 {
     membership members("self", {}, 1);
     for (int i = 0; i < 390; ++i)
-        members.recordHeartbeat(peer("n" + std::to_string(i), 1), at(0));
+        members.applyHeartbeat(peer("n" + std::to_string(i), 1), at(0));
     CHECK(members.heartbeatRecipients(at(0)).size() == 3);
 }
 
@@ -69,7 +69,7 @@
         CHECK(ready.state(at(1)) == readiness_state::ready);
         SECTION("a newer version at a peer is tolerated for some time")
         {
-            ready.onHeartbeat(5, at(2));
+            ready.onPeerHeartbeat(5, at(2));
             CHECK(ready.state(at(4)) == readiness_state::ready);
             ready.onLogResponse(true, at(5));
             CHECK(ready.state(at(6)) == readiness_state::behind);
@@ -79,7 +79,7 @@
         SECTION("cut off from the log and all peers, it refuses")
         {
             ready.setHasPeers(true);
-            ready.onHeartbeat(4, at(2));
+            ready.onPeerHeartbeat(4, at(2));
             CHECK(ready.state(at(6.5)) == readiness_state::ready);
             CHECK(ready.state(at(7.5)) == readiness_state::cut_off);
         }
@@ -87,16 +87,16 @@
         {
             ready.setHasPeers(true);
             for (int i = 2; i < 60; ++i)
-                ready.onHeartbeat(4, at(i));
+                ready.onPeerHeartbeat(4, at(i));
             CHECK(ready.state(at(60)) == readiness_state::ready);
         }
     }
     SECTION("started during an outage, it takes the peers' version")
     {
-        ready.onHeartbeat(7, at(1));
+        ready.onPeerHeartbeat(7, at(1));
         ready.setAppliedVersion(7, at(1));
         CHECK(ready.state(at(2)) == readiness_state::starting);
-        ready.onHeartbeat(7, at(3));
+        ready.onPeerHeartbeat(7, at(3));
         CHECK(ready.state(at(4)) == readiness_state::ready);
     }
 }
--- a/libs/decide/tests/test_traffic.cpp
+++ b/libs/decide/tests/test_traffic.cpp
@@ -73,7 +73,7 @@
     {
         const auto attempt = started()->attempt;
         commands.clear();
-        traffic.onAttemptEnded(id, attempt, result, at(time), commands);
+        traffic.attemptEnded(id, attempt, result, at(time), commands);
     }
 };
 
@@ -178,7 +178,7 @@
     CHECK_FALSE(f.traffic.isCurrent(id, first));
     CHECK(f.traffic.isCurrent(id, second));
     traffic_commands none;
-    f.traffic.onAttemptEnded(id, first, attempt_result::answered, at(3), none);
+    f.traffic.attemptEnded(id, first, attempt_result::answered, at(3), none);
     CHECK(none.empty());
     CHECK(f.traffic.counts().staleEvents == 1);
     CHECK(f.traffic.held() == 1);
@@ -214,7 +214,7 @@
     f.traffic.configure(smallDeployment(), at(3), f.commands);
     CHECK(f.traffic.held() == 1);
     f.commands.clear();
-    f.traffic.onAttemptEnded(id, attempt, attempt_result::answered, at(4), f.commands);
+    f.traffic.attemptEnded(id, attempt, attempt_result::answered, at(4), f.commands);
     CHECK(f.traffic.held() == 0);
 }
 
@@ -296,12 +296,12 @@
                     = static_cast<attempt_result>(random.below(static_cast<std::uint64_t>(attempt_result::count)));
                 const bool isPrefill = item.stage == request_stage::prefill;
                 if (result == attempt_result::cut)
-                    traffic.onTokens({ id }, item.attempt, 5);
+                    traffic.tokensReceived({ id }, item.attempt, 5);
                 if (result == attempt_result::answered || result == attempt_result::cut
                     || result == attempt_result::maybe_run)
                     ++item.mayHaveRun;
                 item.isRunning = false;
-                traffic.onAttemptEnded({ id }, item.attempt, result, at(time), commands);
+                traffic.attemptEnded({ id }, item.attempt, result, at(time), commands);
                 if (result == attempt_result::answered && !isPrefill)
                     ++item.ends;
             }
@@ -320,7 +320,7 @@
             item.isRunning = false;
             const bool isPrefill = item.stage == request_stage::prefill;
             ++item.mayHaveRun;
-            traffic.onAttemptEnded({ id }, item.attempt, attempt_result::answered, at(time), commands);
+            traffic.attemptEnded({ id }, item.attempt, attempt_result::answered, at(time), commands);
             if (!isPrefill)
                 ++item.ends;
             executeCommands();
@@ -405,9 +405,9 @@
                 kept.push_back(outer);
                 continue;
             }
-            traffic.onAttemptEnded(
+            traffic.attemptEnded(
                 outer.nested, running[outer.nested.value], attempt_result::answered, at(time), commands);
-            traffic.onAttemptEnded(outer.id, running[outer.id.value], attempt_result::answered, at(time), commands);
+            traffic.attemptEnded(outer.id, running[outer.id.value], attempt_result::answered, at(time), commands);
             ++ended;
             note();
         }
@@ -459,7 +459,7 @@
             const bool fails
                 = traffic.targets().zone[start->target.value] == 1 || traffic.targets().zone[start->target.value] == 2;
             const auto result = fails ? attempt_result::maybe_run : attempt_result::answered;
-            traffic.onAttemptEnded(start->request, start->attempt, result, at(time), commands);
+            traffic.attemptEnded(start->request, start->attempt, result, at(time), commands);
             traffic.targets().blockedUntil[start->target.value] = {};
         }
     }
--- a/libs/node/src/admin_api.cpp
+++ b/libs/node/src/admin_api.cpp
@@ -48,7 +48,7 @@
                 { "service", traffic.config().services[static_cast<std::size_t>(targets.service[row])].name },
                 { "role", std::string(toString(targets.role[row])) }, { "own", targets.ownRunning[row] },
                 { "running", targets.runningEstimate({ row }, now) },
-                { "takes_work", targets.acceptsRequests({ row }, now) }, { "leaving", targets.isLeaving[row] != 0 },
+                { "takes_work", targets.acceptsWork({ row }, now) }, { "leaving", targets.isLeaving[row] != 0 },
                 { "changing", targets.isChanging[row] != 0 }, { "draining", targets.isDraining[row] != 0 } });
         }
         return list;
--- a/libs/node/src/caller_api.cpp
+++ b/libs/node/src/caller_api.cpp
@@ -119,7 +119,7 @@
         if (peer->isReady && !peer->isStopping && !m_control.members().isLeaving(peer->instance.node))
             usable.push_back(*peer);
     }
-    if (m_control.ready().acceptsRequests(now)) {
+    if (m_control.ready().acceptsWork(now)) {
         peer_state self;
         self.instance = m_keys.self();
         self.address = m_settings.address;
--- a/libs/node/src/control_plane.cpp
+++ b/libs/node/src/control_plane.cpp
@@ -148,7 +148,7 @@
     self.logReach = m_control.replicated().next().value;
     self.isLogReachable = m_control.ready().isLogReachable(now);
     self.isStopping = m_isStopping;
-    self.isReady = m_control.ready().acceptsRequests(now);
+    self.isReady = m_control.ready().acceptsWork(now);
     return self;
 }
 
@@ -185,7 +185,7 @@
 void control_plane::onHeartbeat(const heartbeat& message)
 {
     const auto now = boot_clock::now();
-    m_control.onHeartbeat(message.sender, now);
+    m_control.onPeerHeartbeat(message.sender, now);
     m_loads.take(message.loads, now);
     m_peerDemand[message.sender.instance.node] = { now, message.demands };
     for (const auto& entry : message.digest)
@@ -394,7 +394,7 @@
     m_raised = std::move(raised);
     m_counters.set("tamarack_configuration_version", static_cast<double>(m_control.servedVersion()));
     m_counters.set("tamarack_log_reach", static_cast<double>(m_control.replicated().next().value));
-    m_counters.set("tamarack_ready", m_control.ready().acceptsRequests(now) ? 1 : 0);
+    m_counters.set("tamarack_ready", m_control.ready().acceptsWork(now) ? 1 : 0);
     m_counters.set("tamarack_requests_held", static_cast<double>(m_traffic.held()));
     m_counters.set("tamarack_requests_waiting", static_cast<double>(m_traffic.waiting()));
     const auto& sent = m_peers.counts();
--- a/libs/node/src/node.cpp
+++ b/libs/node/src/node.cpp
@@ -147,7 +147,7 @@
 {
     if (isDraining)
         return now < drainingSince + 2 * settings.entryLifetime && control.decisions().servedVersion() > 0;
-    return control.decisions().ready().acceptsRequests(now);
+    return control.decisions().ready().acceptsWork(now);
 }
 
 std::optional<error_kind> node::state::refusal() const
@@ -168,7 +168,7 @@
     relay::callbacks callbacks;
     callbacks.onAttemptEnded = [this, id](attempt_id attempt, attempt_result result) {
         traffic_commands next;
-        traffic.onAttemptEnded(id, attempt, result, boot_clock::now(), next);
+        traffic.attemptEnded(id, attempt, result, boot_clock::now(), next);
         execute(std::move(next));
     };
     callbacks.onCallerGone = [this, id] { callerGone(id); };
@@ -199,7 +199,7 @@
     const auto kept = std::move(found->second);
     relays.erase(found);
     traffic_commands commands;
-    traffic.onCallerGone(id, boot_clock::now(), commands);
+    traffic.callerDisconnected(id, boot_clock::now(), commands);
     execute(std::move(commands));
 }
 
--- a/libs/node/src/relay.cpp
+++ b/libs/node/src/relay.cpp
@@ -205,7 +205,7 @@
         return writeToCaller(event.bytes);
     if (!attempt->sawFirst) {
         attempt->sawFirst = true;
-        m_services.traffic.onPrefillDone(m_id, attempt->command.attempt);
+        m_services.traffic.prefillCompleted(m_id, attempt->command.attempt);
     }
     if (event.data == endOfStream) {
         attempt->sawEnd = true;
@@ -220,7 +220,7 @@
             return conclude(attempt, attempt_result::cut);
         }
         ++m_nextEvent;
-        m_services.traffic.onTokens(m_id, attempt->command.attempt, 1);
+        m_services.traffic.tokensReceived(m_id, attempt->command.attempt, 1);
     }
     writeToCaller(event.bytes);
 }
@@ -283,7 +283,7 @@
     answer.headers.set("traceparent", formatTraceparent(m_trace));
     // The engine refused the prompt for good: the request ends here, also if a decode stage was to follow.
     attempt->command.stage = request_stage::whole;
-    m_services.traffic.onWholeAnswer(m_id, attempt->command.attempt);
+    m_services.traffic.wholeAnswerReceived(m_id, attempt->command.attempt);
     conclude(attempt, attempt_result::answered);
     m_caller->sendWhole(answer);
     finish({ &answer, error_kind::internal });
--- a/libs/node/tests/test_load_exchange.cpp
+++ b/libs/node/tests/test_load_exchange.cpp
@@ -80,9 +80,9 @@
     here.report({ 0 }, { at(0), 1, 0 });
     here.isLeaving[0] = 1;
     receiver.take(sender.entries(10, at(0)), at(0));
-    CHECK_FALSE(there.acceptsRequests({ 0 }, at(0)));
+    CHECK_FALSE(there.acceptsWork({ 0 }, at(0)));
     here.report({ 0 }, { at(1), 1, 0 });
     here.isLeaving[0] = 0;
     receiver.take(sender.entries(10, at(1)), at(1));
-    CHECK(there.acceptsRequests({ 0 }, at(1)));
+    CHECK(there.acceptsWork({ 0 }, at(1)));
 }
--- a/tools/bench/decision_bench.cpp
+++ b/tools/bench/decision_bench.cpp
@@ -78,7 +78,7 @@
             return;
         const auto attempt = started->attempt;
         commands.clear();
-        traffic.onAttemptEnded(id, attempt, attempt_result::answered, now, commands);
+        traffic.attemptEnded(id, attempt, attempt_result::answered, now, commands);
     });
     const double tick = microsecondsEach(1000, [&](int i) {
         commands.clear();
@@ -107,7 +107,7 @@
     membership members("self", {}, 1);
     const instant now(fromSeconds(1000));
     for (int i = 0; i < nodes; ++i)
-        members.recordHeartbeat(peerNumber(i), now);
+        members.applyHeartbeat(peerNumber(i), now);
     heartbeat message;
     message.sender = peerNumber(1);
     for (std::uint32_t i = 0; i < 48; ++i)
@@ -118,7 +118,7 @@
     const double encode = microsecondsEach(20'000, [&](int) { encodeHeartbeat(message); });
     const double take = microsecondsEach(20'000, [&](int i) {
         const auto read = decodeHeartbeat(bytes);
-        members.recordHeartbeat(read->sender, now + std::chrono::milliseconds(i));
+        members.applyHeartbeat(read->sender, now + std::chrono::milliseconds(i));
     });
     const double pick = microsecondsEach(2'000, [&](int) { members.heartbeatRecipients(now); });
     const double alive = microsecondsEach(2'000, [&](int) { members.alive(now); });
@@ -148,7 +148,7 @@
     control.onLogPage(page, now);
     const double read = microsecondsEach(1, [&](int) { control.tick(now); });
     for (int i = 0; i < nodes; ++i)
-        control.onHeartbeat(peerNumber(i), now);
+        control.onPeerHeartbeat(peerNumber(i), now);
     for (int m = 0; m < models; ++m) {
         for (int i = 0; i < runners / models; ++i) {
             target_view view;
--- a/tools/bench/policy_world.cpp
+++ b/tools/bench/policy_world.cpp
@@ -132,7 +132,7 @@
     if (!m_engines[index].isUp) {
         schedule(m_now + deadConnectionSeconds, [this, request, attempt] {
             traffic_commands commands;
-            m_traffic.onAttemptEnded(request, attempt, attempt_result::not_sent, now(), commands);
+            m_traffic.attemptEnded(request, attempt, attempt_result::not_sent, now(), commands);
             carryOut(commands);
         });
         return;
@@ -187,19 +187,19 @@
     const attempt_id id { event.job };
     auto& request = m_requests.at(attempt.request.value);
     if (event.kind == standins::engine_event_kind::prefilled && attempt.stage == request_stage::whole)
-        m_traffic.onPrefillDone(attempt.request, id);
+        m_traffic.prefillCompleted(attempt.request, id);
     if (event.kind == standins::engine_event_kind::token) {
         if (request.firstAt < 0) {
             request.firstAt = m_now;
-            m_traffic.onPrefillDone(attempt.request, id);
+            m_traffic.prefillCompleted(attempt.request, id);
         }
-        m_traffic.onTokens(attempt.request, id, 1);
+        m_traffic.tokensReceived(attempt.request, id, 1);
     }
     if (event.kind != standins::engine_event_kind::done)
         return;
     m_attempts.erase(found);
     traffic_commands commands;
-    m_traffic.onAttemptEnded(attempt.request, id, attempt_result::answered, now(), commands);
+    m_traffic.attemptEnded(attempt.request, id, attempt_result::answered, now(), commands);
     if (attempt.stage != request_stage::prefill)
         finished(attempt.request);
     carryOut(commands);
@@ -351,7 +351,7 @@
             m_attempts.erase(id);
             schedule(m_now + deadConnectionSeconds, [this, id = id, request = attempt.request] {
                 traffic_commands commands;
-                m_traffic.onAttemptEnded(request, { id }, attempt_result::cut, now(), commands);
+                m_traffic.attemptEnded(request, { id }, attempt_result::cut, now(), commands);
                 carryOut(commands);
             });
         }
