--- a/libs/peer/include/peer/peer_transport.h
+++ b/libs/peer/include/peer/peer_transport.h
@@ -18,7 +18,7 @@
 };
 
 /// Sends and receives peer messages. Must be used from a single thread. Received bytes are not trusted: invalid
-/// messages are counted and dropped.
+/// messages never reach the handlers.
 class peer_transport {
 public:
     using reply_sender = std::function<void(const peer_reply&)>;
