--- a/libs/gateway/tests/fake_ports.h
+++ b/libs/gateway/tests/fake_ports.h
@@ -1,4 +1,4 @@
-// Ports of the gateway that a test controls.
+// Fakes of the gateway's interfaces to callers, targets and the store, controlled by the tests.
 #pragma once
 
 #include "gateway/gateway.h"
@@ -14,7 +14,7 @@
 
 namespace tamarack::tests {
 
-/// Runs the event loop until the condition holds; false after an implausibly long time.
+/// Runs the event loop until the condition holds. Returns false after 20 s.
 inline bool spinUntil(const std::function<bool()>& condition)
 {
     const instant end = boot_clock::now() + std::chrono::seconds(20);
@@ -26,7 +26,7 @@
     return condition();
 }
 
-/// Of a logger that says nothing but errors, and not on the tests' standard output.
+/// Options of a logger that writes only errors, to standard error rather than the tests' standard output.
 inline logger_options quietLog()
 {
     logger_options out;
@@ -35,11 +35,11 @@
     return out;
 }
 
-/// Keeps every call until the test answers it.
+/// Records every call, which the test completes by invoking its handler.
 class fake_store : public keyed_log {
 public:
     struct call {
-        std::string what; ///< newest, read or append
+        std::string what; ///< name of the method
         store_topic topic = store_topic::configuration;
         std::int64_t from = 0;
         duration wait = duration::zero();
--- a/libs/gateway/tests/test_cache_watch.cpp
+++ b/libs/gateway/tests/test_cache_watch.cpp
@@ -1,4 +1,4 @@
-// What engines keep, from their events, their lists and peers.
+// Tests how the contents of engines' caches are learned from events, listings and peers.
 #include "cache_watch.h"
 #include "fake_ports.h"
 
@@ -10,8 +10,8 @@
 
 namespace {
 
-/// `/events` says that events were missed, `/list` names one part.
-class plain_caches : public fake_targets {
+/// `/events` may report missed events; `/list` returns one prefix.
+class fake_cache_protocol : public fake_targets {
 public:
     http_request cacheEvents(std::uint64_t, duration, std::string_view) const override
     {
@@ -28,20 +28,20 @@
     }
 };
 
-/// An engine and a peer at one address.
-struct asked_places {
+/// HTTP server that acts as an engine and as a peer.
+struct engine_and_peer_server {
     int lists = 0;
-    int peerQuestions = 0;
-    cache_snapshot peerKnows;
+    int peerRequests = 0;
+    cache_snapshot peerSnapshot;
     http_server server;
 
-    asked_places()
+    engine_and_peer_server()
         : server(
             {},
             [this](const http_request& request, const std::shared_ptr<response_writer>& writer) {
                 if (request.path() == "/caches") {
-                    ++peerQuestions;
-                    return writer->sendWhole({ 200, {}, encodeCaches(peerKnows) });
+                    ++peerRequests;
+                    return writer->sendWhole({ 200, {}, encodeCaches(peerSnapshot) });
                 }
                 lists += request.path() == "/list";
                 writer->sendWhole({ 200, {}, lists == 0 ? "missed" : "all" });
@@ -52,21 +52,21 @@
     }
 };
 
-struct watching_node {
-    asked_places places;
-    plain_caches protocol;
+struct monitoring_node {
+    engine_and_peer_server places;
+    fake_cache_protocol protocol;
     serving::dispatcher decisions { {} };
     metrics counters;
     logger log { quietLog() };
     http_client client;
-    std::vector<cache_update> announced; // to peers, without waiting for the next heartbeat
+    std::vector<cache_update> announced; // sent to peers without waiting for the next heartbeat
     cache_monitor caches { client, protocol, decisions, counters, log, [this](const std::vector<cache_update>& listed) {
                               announced.insert(announced.end(), listed.begin(), listed.end());
                           } };
     std::vector<serving::node_state> peers;
     serving::node_state self;
 
-    watching_node()
+    monitoring_node()
     {
         serving::target_record record;
         record.name = "e1";
@@ -86,7 +86,7 @@
         peer.adminPort = places.server.port();
         peers = { peer };
     }
-    bool keeps(std::uint64_t part) const
+    bool isCached(std::uint64_t part) const
     {
         const auto parts = decisions.partsThere(decisions.fleet().find("e1"));
         return std::any_of(parts.begin(), parts.end(), [part](const auto& item) { return item.id == part; });
@@ -102,58 +102,56 @@
 
 }
 
-TEST_CASE("test_missed_events_are_made_good_by_a_list")
+TEST_CASE("test_missed_cache_events_trigger_a_full_listing")
 {
-    // Symptom: beginnings that an engine keeps are read again.
-    // Sequence: all nodes are lost; the first answer of an engine says that events before it are not kept any more.
-    // Cause: only what changes from then on was known.
-    watching_node node;
-    REQUIRE(node.tickUntil([&] { return node.keeps(30); }));
+    // Guards against prefilling prefixes again that an engine has cached. After the loss of all nodes the first
+    // response of an engine reports that earlier events are no longer retained; without a listing only later changes
+    // would be known.
+    monitoring_node node;
+    REQUIRE(node.tickUntil([&] { return node.isCached(30); }));
     CHECK(node.places.lists == 1);
-    CHECK_FALSE(node.keeps(20)); // told before the list, and not in it
-    CHECK(node.announced.empty()); // each node watches by itself
+    CHECK_FALSE(node.isCached(20)); // reported before the listing, and not part of it
+    CHECK(node.announced.empty()); // each node monitors all engines itself
 }
 
-TEST_CASE("test_what_an_engine_lists_is_told_at_once_where_few_nodes_watch_it")
+TEST_CASE("test_listed_prefixes_are_announced_at_once_when_few_nodes_monitor_an_engine")
 {
-    // Symptom: for five seconds after the loss of all nodes, beginnings that the fleet keeps are read again.
-    // Sequence: the watchers of each engine list what it keeps, some thousand parts in all.
-    // Cause: they were told by heartbeats, a dozen in each.
-    watching_node node;
+    // Guards against prefilling cached prefixes again for five seconds after the loss of all nodes. The nodes that
+    // monitor an engine list some thousand prefixes in all, and a heartbeat carries only a dozen.
+    monitoring_node node;
     for (int i = 2; i <= 12; ++i)
         node.peers.emplace_back().vm = "n" + std::to_string(i);
     const auto instance = node.decisions.fleet().instance[0];
     for (int i = 0; !serving::zone_roster(node.self, node.peers).isOnDuty(instance, {}, 1); ++i)
         node.self.vm = "watcher-" + std::to_string(i);
-    REQUIRE(node.tickUntil([&] { return node.keeps(30); }));
+    REQUIRE(node.tickUntil([&] { return node.isCached(30); }));
     REQUIRE(node.announced.size() == 1);
     CHECK(node.announced.front().part == 30);
 }
 
-TEST_CASE("test_node_that_starts_with_its_peers_asks_again_what_engines_keep")
+TEST_CASE("test_incomplete_cache_snapshot_of_a_peer_is_requested_again")
 {
-    // Symptom: after the loss of all nodes each knows a few engines' memories for seconds.
-    // Sequence: a node asks a peer that has started at the same time, and is told what that one has listed so far.
-    // Cause: any answer was taken for all that there is to know.
-    watching_node node;
-    node.places.peerKnows = { { { serving::shortHash("e1"), 40, 800 } }, false };
+    // Guards against nodes that know only a few engines' caches for seconds after the loss of all nodes: a node asks a
+    // peer that has started at the same time, and its partial snapshot must not count as complete.
+    monitoring_node node;
+    node.places.peerSnapshot = { { { serving::shortHash("e1"), 40, 800 } }, false };
     node.addPeer();
-    REQUIRE(node.tickUntil([&] { return node.keeps(40); }));
-    node.places.peerKnows = { { { serving::shortHash("e1"), 41, 800 } }, true };
-    REQUIRE(node.tickUntil([&] { return node.keeps(41); }));
-    CHECK(node.places.peerQuestions == 2);
+    REQUIRE(node.tickUntil([&] { return node.isCached(40); }));
+    node.places.peerSnapshot = { { { serving::shortHash("e1"), 41, 800 } }, true };
+    REQUIRE(node.tickUntil([&] { return node.isCached(41); }));
+    CHECK(node.places.peerRequests == 2);
     CHECK(node.caches.snapshot(boot_clock::now()).isComplete);
 }
 
-TEST_CASE("test_node_that_starts_asks_a_peer_what_engines_keep")
+TEST_CASE("test_starting_node_requests_a_cache_snapshot_from_a_peer")
 {
-    watching_node node;
-    node.places.peerKnows
+    monitoring_node node;
+    node.places.peerSnapshot
         = { { { serving::shortHash("e1"), 40, 800 }, { serving::shortHash("unknown"), 41, 800 } }, true };
     node.addPeer();
-    REQUIRE(node.tickUntil([&] { return node.keeps(40); }));
+    REQUIRE(node.tickUntil([&] { return node.isCached(40); }));
     CHECK(!node.caches.snapshot(boot_clock::now()).parts.empty());
     for (int i = 0; i < 5; ++i)
         node.tick();
-    CHECK(node.places.peerQuestions == 1);
+    CHECK(node.places.peerRequests == 1);
 }
--- a/libs/gateway/tests/test_gateway.cpp
+++ b/libs/gateway/tests/test_gateway.cpp
@@ -1,4 +1,4 @@
-// The gateway's own steps, with ports that the test controls.
+// Tests the start of a node with fake interfaces.
 #include "fake_ports.h"
 
 using namespace tamarack;
@@ -6,9 +6,9 @@
 
 TEST_CASE("test_nodes_that_start_together_find_each_other")
 {
-    // Symptom: two nodes do not know each other, and each names only a part of the nodes to callers.
-    // Sequence: nodes start within a moment; each reads which nodes there are before the others have registered.
-    // Cause: reading before registering. Of two nodes that register first and then read, the later one sees the other.
+    // Guards against nodes that start together, do not know each other and announce only a part of the nodes to
+    // callers. It happens if each reads the list of nodes before the others have registered. Of two nodes that register
+    // before reading, the later one finds the other.
     fake_store store;
     const fake_decoder decoder;
     const fake_callers callers;
--- a/libs/gateway/tests/test_role_orders.cpp
+++ b/libs/gateway/tests/test_role_orders.cpp
@@ -1,4 +1,4 @@
-// The steps of a change of role, against an engine that counts what it is asked.
+// Tests the steps of a role change against an engine that counts its requests.
 #include "fake_ports.h"
 #include "role_orders.h"
 
@@ -10,8 +10,8 @@
 
 namespace {
 
-/// `/report` tells `isChanging`; `/order` names the fencing number and the number of orders taken.
-class plain_orders : public fake_targets {
+/// `/report` returns `isChanging`; `/order` contains the fencing token and the number of accepted orders.
+class fake_role_protocol : public fake_targets {
 public:
     http_request roleReport(std::string_view) const override { return { "GET", "/report", {}, {} }; }
     std::optional<role_report> decodeRoleReport(std::string_view body) const override
@@ -24,7 +24,7 @@
             std::string(order.holder) + " " + std::to_string(order.fencingNumber) + " "
                 + std::to_string(order.ordersTaken) };
     }
-    std::uint64_t bornAt = 0; ///< that engines tell
+    std::uint64_t bornAt = 0; ///< reported by engines; 0: not reported
 
     order_answer decodeOrderAnswer(int status) const override
     {
@@ -32,13 +32,13 @@
     }
 };
 
-struct asked_engine {
+struct fake_engine {
     bool isChanging = false;
     int reports = 0;
     std::vector<std::string> orders;
     http_server server;
 
-    asked_engine()
+    fake_engine()
         : server(
             {},
             [this](const http_request& request, const std::shared_ptr<response_writer>& writer) {
@@ -55,22 +55,22 @@
     }
 };
 
-/// Three engines that write, all at the address of the asked one; one of them has to read.
-struct ordering_node {
-    asked_engine engine;
-    plain_orders protocol;
+/// A node with three decode engines, all at the address of the fake engine, one of which has to switch to prefill.
+struct coordinator_fixture {
+    fake_engine engine;
+    fake_role_protocol protocol;
     fake_store store;
     serving::dispatcher decisions { {} };
     metrics counters;
     logger log { quietLog() };
     http_client client;
-    int beats = 0;
+    int heartbeats = 0;
     int failedClaims = 0;
-    role_coordinator roles {
-        { client, protocol, store, decisions, counters, log, [this] { ++beats; }, [this] { ++failedClaims; } }, "n1", {}
-    };
+    role_coordinator roles { { client, protocol, store, decisions, counters, log, [this] { ++heartbeats; },
+                                 [this] { ++failedClaims; } },
+        "n1", {} };
 
-    explicit ordering_node(std::uint64_t bornAt = 0)
+    explicit coordinator_fixture(std::uint64_t bornAt = 0)
     {
         for (const char* name : { "e1", "e2", "e3" }) {
             serving::target_record record;
@@ -92,7 +92,7 @@
         roles.tick(self, {}, boot_clock::now());
     }
 
-    /// Goes on until the store is asked for the claim, and grants it.
+    /// Runs until the node claims the lease, and grants it.
     void claim()
     {
         REQUIRE(spinUntil([&] {
@@ -103,7 +103,7 @@
         store.calls.front().onAppendAt(placed_append { true, 7 });
     }
 
-    int leftAlone() const
+    int excludedEngines() const
     {
         const auto& fleet = decisions.fleet();
         int out = 0;
@@ -115,17 +115,17 @@
 
 }
 
-TEST_CASE("test_engine_is_left_alone_before_it_gets_an_order")
+TEST_CASE("test_engine_is_excluded_before_it_gets_an_order")
 {
-    ordering_node node;
+    coordinator_fixture node;
     node.claim();
     REQUIRE(spinUntil([&] {
         node.tick();
         return node.roles.changingEngines().size() == 1;
     }));
     CHECK(node.engine.orders.empty());
-    CHECK(node.leftAlone() == 1);
-    CHECK(node.beats == 1);
+    CHECK(node.excludedEngines() == 1);
+    CHECK(node.heartbeats == 1);
     REQUIRE(spinUntil([&] {
         node.tick();
         return !node.engine.orders.empty();
@@ -134,12 +134,11 @@
     CHECK(node.engine.reports == 1);
 }
 
-TEST_CASE("test_engine_that_has_started_again_gets_no_order_for_its_former_life")
+TEST_CASE("test_restarted_engine_gets_no_order_for_its_former_process")
 {
-    // Symptom: an engine that has just started is taken away again.
-    // Sequence: an order is decided on; the engine starts again under its name, and the list has not told yet.
-    // Cause: an order goes to a name, and the new life has taken as few orders as the former one.
-    ordering_node node { 1000 };
+    // Guards against an order for a restarted engine. An order is decided on, the engine restarts under the same name
+    // before the target list shows it, and its new process has accepted as few orders as the former one.
+    coordinator_fixture node { 1000 };
     node.protocol.bornAt = 2000;
     node.claim();
     REQUIRE(spinUntil([&] {
@@ -150,12 +149,11 @@
     CHECK(node.engine.orders.empty());
 }
 
-TEST_CASE("test_engine_that_changes_already_gets_no_order")
+TEST_CASE("test_engine_with_a_role_change_in_progress_gets_no_order")
 {
-    // Symptom: an engine is away for twice as long as a change takes.
-    // Sequence: an order without an answer is carried out late, and meanwhile another one is given.
-    // Cause: an order that does not look at what the engine does.
-    ordering_node node;
+    // Guards against an engine that is unavailable for twice as long as a role change takes: an order without a
+    // response is executed late while another one is sent.
+    coordinator_fixture node;
     node.engine.isChanging = true;
     node.claim();
     REQUIRE(spinUntil([&] {
@@ -164,13 +162,13 @@
     }));
     REQUIRE(spinUntil([&] { return node.roles.changingEngines().empty(); }));
     CHECK(node.engine.orders.empty());
-    CHECK(node.leftAlone() == 0); // it goes on in its role
+    CHECK(node.excludedEngines() == 0); // it keeps its role
 }
 
 TEST_CASE("test_failed_claim_triggers_a_store_reach_check")
 {
     // Guards against a node that stays responsible for role orders while it cannot claim the lease.
-    ordering_node node;
+    coordinator_fixture node;
     REQUIRE(spinUntil([&] {
         node.tick();
         return !node.store.calls.empty();
--- a/libs/gateway/tests/test_service_pages.cpp
+++ b/libs/gateway/tests/test_service_pages.cpp
@@ -1,4 +1,4 @@
-// What peers may ask for, and how much of it at a time.
+// Tests the limits of responses to peers.
 #include "fake_ports.h"
 #include "service_pages.h"
 
@@ -7,11 +7,10 @@
 using namespace tamarack;
 using namespace tamarack::tests;
 
-TEST_CASE("test_long_answers_to_peers_are_bounded")
+TEST_CASE("test_concurrent_large_responses_to_peers_are_bounded")
 {
-    // Symptom: a node takes half a gigabyte and is ended for it.
-    // Sequence: all other nodes start at once and ask it what it knows; their links are narrow.
-    // Cause: as many answers wait in memory as there are nodes.
+    // Guards against a node that takes half a gigabyte of memory and is killed. It happens if all other nodes start at
+    // once and request its state over narrow links, so that as many responses are buffered as there are nodes.
     const fake_callers callers;
     serving::node_directory nodes { "n1", {} };
     metrics counters;
@@ -44,7 +43,7 @@
     }
     REQUIRE(spinUntil([&] { return begun + refused == 60; }));
     CHECK(begun == 40);
-    // Whoever reads on makes room for others.
+    // Cancelled responses make room for others.
     for (auto& exchange : exchanges)
         exchange->cancel();
     std::string body;
--- a/libs/gateway/tests/test_shared_view.cpp
+++ b/libs/gateway/tests/test_shared_view.cpp
@@ -1,4 +1,4 @@
-// What a node believes of configuration and targets, from the store and from peers.
+// Tests how a node learns the configuration and the targets from the store and from peers.
 #include "fake_ports.h"
 #include "shared_view.h"
 
@@ -8,7 +8,7 @@
 
 namespace {
 
-struct viewed_store {
+struct view_fixture {
     fake_store store;
     fake_decoder decoder;
     serving::dispatcher decisions { {} };
@@ -16,16 +16,16 @@
     metrics counters;
     logger log { quietLog() };
     std::vector<std::uint64_t> versions;
-    std::vector<serving::target_note> told;
+    std::vector<serving::target_note> sentNotes;
     int storeLosses = 0;
-    int timesBehind = 0;
+    int behindCalls = 0;
     cluster_view view;
 
-    explicit viewed_store(bool isStarted = true)
+    explicit view_fixture(bool isStarted = true)
         : view({ decoder, store, decisions, nodes, counters, log }, {},
             { [this](const auto& configuration) { versions.push_back(configuration->version()); },
-                [this](serving::target_note note) { told.push_back(std::move(note)); }, [this] { ++storeLosses; },
-                [this] { ++timesBehind; } })
+                [this](serving::target_note note) { sentNotes.push_back(std::move(note)); }, [this] { ++storeLosses; },
+                [this] { ++behindCalls; } })
     {
         if (!isStarted)
             return;
@@ -49,11 +49,11 @@
     {
         lastCall("newest", store_topic::targets).onNewest(newest_page { std::move(records), end, false });
     }
-    serving::target_news news(std::int64_t offset, const std::string& instance, const std::string& value) const
+    serving::target_news targetUpdate(std::int64_t offset, const std::string& instance, const std::string& value) const
     {
         return { offset, instance, std::get<serving::target_record>(decoder.decodeTarget(instance, value)) };
     }
-    bool takesWork(const std::string& instance) const
+    bool acceptsWork(const std::string& instance) const
     {
         const auto id = decisions.fleet().find(instance);
         return id.isValid() && decisions.fleet().takesWork(id, boot_clock::now());
@@ -66,7 +66,7 @@
 {
     // Guards against a stale success for one topic hiding failures of the other, so that a failing reader is kept.
     using serving::store_reach;
-    viewed_store world;
+    view_fixture world;
     world.listTargets({ { 1, "t1", "s/1" } }, 2);
     world.lastCall("newest", store_topic::configuration)
         .onNewest(newest_page { { { 3, "configuration", "7" } }, 4, false });
@@ -80,7 +80,7 @@
 TEST_CASE("test_store_reach_check_detects_a_lost_store")
 {
     // Guards against a node that keeps counting as reaching the store because of a read long ago.
-    viewed_store world;
+    view_fixture world;
     world.listTargets({ { 1, "t1", "s/1" } }, 2);
     world.lastCall("newest", store_topic::configuration)
         .onNewest(newest_page { { { 3, "configuration", "7" } }, 4, false });
@@ -91,10 +91,10 @@
     CHECK(world.view.storeReach() == serving::store_reach::lost);
 }
 
-TEST_CASE("test_reader_that_is_told_late_by_a_peer_goes_on_reading")
+TEST_CASE("test_reader_continues_reading_after_a_late_peer_snapshot")
 {
     // Guards against startFromPeer() postponing the next read of feeds that are already reading.
-    viewed_store world(false);
+    view_fixture world(false);
     world.view.setReader(true);
     world.listTargets({ { 1, "t1", "s/1" } }, 2);
     world.lastCall("newest", store_topic::configuration)
@@ -104,10 +104,10 @@
     CHECK(world.store.count("read", store_topic::configuration) > 0);
 }
 
-TEST_CASE("test_node_that_nobody_confirms_asks_the_store_itself")
+TEST_CASE("test_node_without_confirmations_reads_the_store_itself")
 {
-    // Guards against a node that stays on an old version when no reader can be heard.
-    viewed_store world;
+    // Guards against a node that stays on an old version when no messages from readers arrive.
+    view_fixture world;
     const auto now = boot_clock::now();
     world.listTargets({ { 1, "t1", "s/1" } }, 2);
     world.lastCall("newest", store_topic::configuration)
@@ -125,9 +125,9 @@
     CHECK(reads() == before + 1);
 }
 
-TEST_CASE("test_confirmation_of_a_peer_counts_only_for_what_is_known_here")
+TEST_CASE("test_peer_confirmation_counts_only_for_data_known_locally")
 {
-    viewed_store world;
+    view_fixture world;
     world.listTargets({ { 1, "t1", "s/1" } }, 2);
     world.lastCall("newest", store_topic::configuration)
         .onNewest(newest_page { { { 3, "configuration", "7" } }, 4, false });
@@ -155,21 +155,20 @@
 
 TEST_CASE("test_node_that_does_not_tell_peers_of_target_changes_does_not_confirm_the_list")
 {
-    // Guards against a peer that lacks a change and takes its list for complete, confirmed by a node that did not tell
-    // it of the change.
-    viewed_store world;
+    // Guards against a peer that lacks a change and takes its list for complete, confirmed by a node that did not send
+    // it the change.
+    view_fixture world;
     world.listTargets({ { 1, "t1", "s/1" } }, 2);
     CHECK(world.view.readProgress().targetsAt != 0);
     world.view.setReader(false);
     CHECK(world.view.readProgress().targetsAt == 0);
 }
 
-TEST_CASE("test_versions_only_rise")
+TEST_CASE("test_configuration_versions_only_increase")
 {
-    // Symptom: a route that was added disappears again.
-    // Sequence: a peer that lags is asked for its state, or an older record is read again after a start over.
-    // Cause: whatever is read last is put in force.
-    viewed_store world;
+    // Guards against an added route disappearing again: the state of a lagging peer or an older record that is read
+    // again after a restart of the feed must not replace a newer version.
+    view_fixture world;
     world.lastCall("newest", store_topic::configuration)
         .onNewest(newest_page { { { 3, "configuration", "7" } }, 4, false });
     world.view.applyState({ compress({ 2, "configuration", "5" }), {}, {} });
@@ -180,41 +179,41 @@
 
 TEST_CASE("test_only_readers_ask_the_store_for_a_version_that_a_peer_has")
 {
-    viewed_store world;
+    view_fixture world;
     world.lastCall("newest", store_topic::configuration)
         .onNewest(newest_page { { { 3, "configuration", "7" } }, 4, false });
     const auto reads = [&] { return world.store.count("read", store_topic::configuration); };
     world.view.setReader(false);
     const auto before = reads();
     world.view.onPeerVersion(9);
-    CHECK(world.timesBehind == 1);
+    CHECK(world.behindCalls == 1);
     CHECK(reads() == before);
-    world.view.onPeerVersion(9); // told by the next peer, a moment later
-    CHECK(world.timesBehind == 1);
+    world.view.onPeerVersion(9); // announced by the next peer a moment later
+    CHECK(world.behindCalls == 1);
     CHECK(world.view.exportState({}).configuration.has_value());
 }
 
-TEST_CASE("test_change_found_by_a_peer_is_obeyed_at_once")
+TEST_CASE("test_change_found_by_a_peer_is_applied_at_once")
 {
-    viewed_store world;
+    view_fixture world;
     world.listTargets({ { 1, "t1", "s/1" }, { 2, "t2", "s/1" } }, 3);
     world.view.setReader(false);
-    world.view.applyTargetNote({ 2, 5, { world.news(5, "t1", "s/2/draining") } });
-    CHECK_FALSE(world.takesWork("t1"));
+    world.view.applyTargetNote({ 2, 5, { world.targetUpdate(5, "t1", "s/2/draining") } });
+    CHECK_FALSE(world.acceptsWork("t1"));
     world.view.applyTargetNote({ 5, 6, { { 6, "t2", std::nullopt } } });
-    CHECK_FALSE(world.takesWork("t2"));
-    CHECK(world.view.lastTargetChange() == -1); // the one that found it tells all
+    CHECK_FALSE(world.acceptsWork("t2"));
+    CHECK(world.view.lastTargetChange() == -1); // only the node that has read it confirms it
     world.view.setReader(true);
     CHECK(world.view.lastTargetChange() == 6);
-    CHECK(world.told.empty()); // not told on: the one that found it tells all
+    CHECK(world.sentNotes.empty()); // not forwarded: the node that has read it sends it to all
 }
 
-TEST_CASE("test_entry_of_another_writer_ends_the_use_of_its_target_and_of_no_other")
+TEST_CASE("test_foreign_entry_removes_its_target_and_no_other")
 {
-    // Symptom: requests go to a target whose entry names none any more.
-    // Sequence: another writer puts something over a target's entry, while removals wait for the store's return.
-    // Cause: an entry that cannot be read was passed over, and what it said before went on being believed.
-    viewed_store world;
+    // Guards against requests to a target that its entry no longer names. Another writer overwrites the entry while
+    // removals are deferred until the store returns; an entry that cannot be decoded must not leave the former target
+    // in use.
+    view_fixture world;
     world.listTargets({ { 1, "t1", "s/1" }, { 2, "t2", "s/1" }, { 3, "t3", "nothing" } }, 4);
     world.view.tick(boot_clock::now());
     const auto page = [&](std::vector<keyed_record> records, std::int64_t end) {
@@ -222,93 +221,90 @@
     };
     world.lastCall("read", store_topic::targets).onRead(store_error::unreachable);
     page({ { 4, "t1", "nothing" } }, 5);
-    CHECK_FALSE(world.takesWork("t1"));
-    CHECK(world.takesWork("t2"));
-    CHECK_FALSE(world.takesWork("t3"));
-    REQUIRE(world.told.size() == 1);
-    CHECK(world.told[0].changes.at(0).name == "t1");
-    CHECK_FALSE(world.told[0].changes.at(0).record.has_value());
+    CHECK_FALSE(world.acceptsWork("t1"));
+    CHECK(world.acceptsWork("t2"));
+    CHECK_FALSE(world.acceptsWork("t3"));
+    REQUIRE(world.sentNotes.size() == 1);
+    CHECK(world.sentNotes[0].changes.at(0).name == "t1");
+    CHECK_FALSE(world.sentNotes[0].changes.at(0).record.has_value());
     page({ { 5, "t1", "s/2" } }, 6);
-    CHECK(world.takesWork("t1"));
+    CHECK(world.acceptsWork("t1"));
 }
 
-TEST_CASE("test_target_that_starts_again_is_another_one_for_the_fleet")
+TEST_CASE("test_restarted_target_is_a_new_instance")
 {
-    // Symptom: prompts go to an engine for what its former life kept; a target that was left for its failures is left
-    // on.
-    // Sequence: a target starts again under its name, as this node reads, or hears from a peer.
-    // Cause: what is believed of a target kept by its name.
-    viewed_store world;
+    // Guards against state of a target's former process: prompts sent to an engine for prefixes that its former process
+    // had cached, and a target that stays blocked for its former failures. A target restarts under its name, as read
+    // from the store or received from a peer.
+    view_fixture world;
     world.listTargets({ { 1, "t1", "s/7@1000" } }, 2);
     const auto former = world.decisions.fleet().find("t1/1000");
     REQUIRE(former.isValid());
     world.decisions.cacheTold(former, { { 77, 4000 } });
     world.view.setReader(false);
-    world.view.applyTargetNote({ 1, 2, { world.news(2, "t1", "s/1@2000") } });
-    CHECK_FALSE(world.takesWork("t1/1000"));
-    REQUIRE(world.takesWork("t1/2000"));
+    world.view.applyTargetNote({ 1, 2, { world.targetUpdate(2, "t1", "s/1@2000") } });
+    CHECK_FALSE(world.acceptsWork("t1/1000"));
+    REQUIRE(world.acceptsWork("t1/2000"));
     const auto next = world.decisions.fleet().find("t1/2000");
     CHECK(world.decisions.partsThere(next).empty());
     CHECK(world.decisions.fleet().name[next.value] == "t1");
-    // From a peer that lags.
-    world.view.applyTargetNote({ 2, 3, { world.news(3, "t1", "s/8@1000") } });
-    CHECK(world.takesWork("t1/2000"));
-    CHECK_FALSE(world.takesWork("t1/1000"));
+    // From a lagging peer.
+    world.view.applyTargetNote({ 2, 3, { world.targetUpdate(3, "t1", "s/8@1000") } });
+    CHECK(world.acceptsWork("t1/2000"));
+    CHECK_FALSE(world.acceptsWork("t1/1000"));
 }
 
-TEST_CASE("test_removal_read_before_it_was_confirmed_is_obeyed_when_a_peer_confirms_it")
+TEST_CASE("test_unconfirmed_removal_is_applied_when_a_peer_confirms_it")
 {
-    // Symptom: a request reaches a target later after its leaving than the drain bound allows.
-    // Sequence: a node that reads seldom hurries to read a change, and finds a removal behind it; then a peer's
-    // heartbeat names that removal.
-    // Cause: removals that waited for a confirmation were looked at again only when the grace was over.
-    viewed_store world;
+    // Guards against requests to a removed target beyond the drain bound. A node that rarely reads the store catches up
+    // on a change and finds a removal after it; when a peer's heartbeat then names that removal, it must not wait for
+    // the end of the grace period.
+    view_fixture world;
     world.listTargets({ { 1, "t1", "s/1" }, { 2, "t2", "s/1" } }, 3);
     world.view.setReader(false);
     world.view.onPeerTargetChange(5);
     world.lastCall("read", store_topic::targets)
         .onRead(record_page { { { 5, "t1", "s/2/draining" }, { 6, "t2", std::nullopt } }, 7, 7 });
-    CHECK(world.takesWork("t2")); // it may have lapsed while the store was away, of which this node does not know
+    CHECK(world.acceptsWork("t2")); // it may have expired during an outage of the store that this node has not noticed
     world.view.onPeerTargetChange(6);
-    CHECK_FALSE(world.takesWork("t2"));
+    CHECK_FALSE(world.acceptsWork("t2"));
 }
 
-TEST_CASE("test_removal_that_is_waited_for_is_not_confirmed_to_peers")
+TEST_CASE("test_deferred_removal_is_not_confirmed_to_peers")
 {
-    // Symptom: after an outage of the store targets that work are given up by nodes that read seldom.
-    // Sequence: an entry lapses during the outage, and another one changes after it; the change's offset is told.
-    // Cause: a node that follows the list tells the offset of its last change, though it waits for an earlier removal.
-    viewed_store world;
+    // Guards against nodes that give up working targets after an outage of the store. An entry expires during the
+    // outage and another one changes after it; a node that still defers the removal must not announce the later offset
+    // to its peers.
+    view_fixture world;
     world.listTargets({ { 1, "t1", "s/1" }, { 2, "t2", "s/1" } }, 3);
     world.lastCall("read", store_topic::targets).onRead(store_error::unreachable);
     world.lastCall("read", store_topic::targets)
         .onRead(record_page { { { 5, "t1", std::nullopt }, { 6, "t2", "s/2/draining" } }, 7, 7 });
-    CHECK(world.takesWork("t1"));
+    CHECK(world.acceptsWork("t1"));
     CHECK(world.view.lastTargetChange() == 4);
 }
 
-TEST_CASE("test_removal_found_by_reading_anew_is_told_with_its_place")
+TEST_CASE("test_removal_found_by_a_full_read_is_sent_with_its_offset")
 {
-    // Symptom: peers go on sending to a target that has left.
-    // Sequence: the store drops its history, the list is read anew, and an entry is missing.
-    // Cause: the removal was told without an offset, so that peers took it for older than the entry.
-    viewed_store world;
+    // Guards against peers that keep sending requests to a removed target. The store has dropped records, the list is
+    // read anew and an entry is missing; a removal sent without an offset would count as older than the entry.
+    view_fixture world;
     world.listTargets({ { 1, "t1", "s/1" }, { 2, "t2", "s/1" } }, 3);
     const auto reads = [&] { return world.store.count("newest", store_topic::targets); };
     const auto before = reads();
     world.lastCall("read", store_topic::targets).onRead(store_error::expired);
     REQUIRE(spinUntil([&] { return reads() == before + 1; }));
     world.listTargets({ { 8, "t1", "s/2" } }, 10);
-    REQUIRE(world.told.size() == 1);
-    REQUIRE(world.told[0].changes.size() == 1);
-    CHECK(world.told[0].changes[0].name == "t2");
-    CHECK(world.told[0].changes[0].offset == 9);
+    REQUIRE(world.sentNotes.size() == 1);
+    REQUIRE(world.sentNotes[0].changes.size() == 1);
+    CHECK(world.sentNotes[0].changes[0].name == "t2");
+    CHECK(world.sentNotes[0].changes[0].offset == 9);
 }
 
 TEST_CASE("test_notes_of_many_changes_fit_into_datagrams")
 {
-    // Symptom: when many targets change at once, none of the peers hears of it.
-    // Cause: all changes went into one datagram, longer than its readers' buffer.
+    // Guards against a lost notification when many targets change at once: all changes in one datagram would exceed the
+    // receivers' buffer.
     constexpr std::size_t mtu = 1'472;
     serving::target_note note { 7, 60, {} };
     for (int i = 0; i < 40; ++i) {
@@ -376,27 +372,26 @@
     CHECK(heard.jobs.size() == 1);
 }
 
-TEST_CASE("test_node_asks_for_the_list_when_a_note_was_lost")
+TEST_CASE("test_missing_changes_are_requested_after_a_lost_note")
 {
-    // Symptom: a node sends to a target for seconds after the others have given it up.
-    // Sequence: of two notes of a peer the first is lost; the second one comes.
-    // Cause: the node took the last change that it was told of for the last one that it had to know.
+    // Guards against requests to a target for seconds after the other nodes have given it up. The first of two notes of
+    // a peer is lost; the second one must not hide the gap.
     const bool doesPeerAnswer = GENERATE(true, false);
-    viewed_store world;
+    view_fixture world;
     world.listTargets({ { 1, "t1", "s/1" }, { 2, "t2", "s/1" } }, 3);
     world.view.setReader(false);
     const auto before = world.store.count("read", store_topic::targets);
-    world.view.applyTargetNote({ 2, 4, { world.news(4, "t3", "s/1") } });
+    world.view.applyTargetNote({ 2, 4, { world.targetUpdate(4, "t3", "s/1") } });
     CHECK(world.store.count("read", store_topic::targets) == before);
-    // The note { 4, 6 } with the leaving of t1 is lost.
-    world.view.applyTargetNote({ 6, 8, { world.news(8, "t4", "s/1") } });
-    CHECK(world.timesBehind == 1);
+    // The note { 4, 6 } with the removal of t1 is lost.
+    world.view.applyTargetNote({ 6, 8, { world.targetUpdate(8, "t4", "s/1") } });
+    CHECK(world.behindCalls == 1);
     CHECK(world.view.isBehindTargets());
     CHECK(world.store.count("read", store_topic::targets) == before);
     if (doesPeerAnswer) {
         shared_state state;
-        state.targets = { { world.news(6, "t1", "s/2/draining"), world.news(2, "t2", "s/1"), world.news(4, "t3", "s/1"),
-                              world.news(8, "t4", "s/1") },
+        state.targets = { { world.targetUpdate(6, "t1", "s/2/draining"), world.targetUpdate(2, "t2", "s/1"),
+                              world.targetUpdate(4, "t3", "s/1"), world.targetUpdate(8, "t4", "s/1") },
             8 };
         world.view.applyState(state);
         CHECK_FALSE(world.view.isBehindTargets());
@@ -406,64 +401,63 @@
         world.lastCall("read", store_topic::targets)
             .onRead(record_page { { { 6, "t1", "s/2/draining" }, { 8, "t4", "s/1" } }, 9, 9 });
     }
-    CHECK_FALSE(world.takesWork("t1"));
-    CHECK(world.takesWork("t4"));
+    CHECK_FALSE(world.acceptsWork("t1"));
+    CHECK(world.acceptsWork("t4"));
     world.view.setReader(true);
     CHECK(world.view.lastTargetChange() == 8);
 }
 
-TEST_CASE("test_node_that_was_told_the_list_and_reads_it_later_waits_for_nothing")
+TEST_CASE("test_first_store_read_after_a_peer_snapshot_applies_removals_at_once")
 {
-    // Symptom: requests reach a target that has left for longer than the drain bound allows.
-    // Sequence: a node is told the list by a peer, later is the one to read it, and finds a target gone at its first
-    // read.
-    // Cause: it took its first answer of the store for the store's return, after which entries may come back.
-    viewed_store world;
+    // Guards against requests to a removed target beyond the drain bound. A node gets the target list from a peer,
+    // becomes a reader later and finds a target missing at its first read; that read must not count as the store's
+    // return after an outage, when missing entries are kept for a grace period.
+    view_fixture world;
     shared_state state;
-    state.targets = { { world.news(1, "t1", "s/1"), world.news(2, "t2", "s/1") }, 2 };
+    state.targets = { { world.targetUpdate(1, "t1", "s/1"), world.targetUpdate(2, "t2", "s/1") }, 2 };
     world.view.applyState(state);
-    CHECK(world.takesWork("t1"));
+    CHECK(world.acceptsWork("t1"));
     world.listTargets({ { 2, "t2", "s/1" } }, 4);
-    CHECK_FALSE(world.takesWork("t1"));
-    CHECK(world.takesWork("t2"));
+    CHECK_FALSE(world.acceptsWork("t1"));
+    CHECK(world.acceptsWork("t2"));
 }
 
-TEST_CASE("test_late_word_of_a_peer_does_not_undo_what_was_read")
+TEST_CASE("test_late_peer_note_does_not_revert_newer_records")
 {
-    viewed_store world;
+    view_fixture world;
     world.listTargets({ { 8, "t1", "s/4" } }, 9);
     world.view.applyTargetNote({ 2, 5, { { 5, "t1", std::nullopt } } });
-    CHECK(world.takesWork("t1"));
-    world.view.applyTargetNote({ 5, 6, { world.news(6, "t1", "s/2/draining") } });
-    CHECK(world.takesWork("t1"));
+    CHECK(world.acceptsWork("t1"));
+    world.view.applyTargetNote({ 5, 6, { world.targetUpdate(6, "t1", "s/2/draining") } });
+    CHECK(world.acceptsWork("t1"));
 }
 
-TEST_CASE("test_node_that_reads_closely_tells_its_peers_what_changed")
+TEST_CASE("test_reader_sends_target_changes_to_its_peers")
 {
-    viewed_store world;
+    view_fixture world;
     world.listTargets({ { 1, "t1", "s/1" }, { 2, "t2", "s/1" } }, 3);
     world.lastCall("read", store_topic::targets)
         .onRead(record_page { { { 3, "t1", "s/2" }, { 4, "t2", "s/2/draining" }, { 5, "t1", std::nullopt } }, 6, 6 });
-    REQUIRE(world.told.size() == 1);
-    const auto& changes = world.told[0].changes;
-    REQUIRE(changes.size() == 2); // a record that changes nothing is not told
+    REQUIRE(world.sentNotes.size() == 1);
+    const auto& changes = world.sentNotes[0].changes;
+    REQUIRE(changes.size() == 2); // a record without a change is not sent
     CHECK(changes[0].name == "t2");
     CHECK(changes[1].name == "t1");
     CHECK_FALSE(changes[1].record);
 }
 
-TEST_CASE("test_node_asks_when_a_peer_knows_of_a_change_that_it_does_not_know")
+TEST_CASE("test_unknown_change_announced_by_a_peer_is_requested")
 {
-    viewed_store world;
+    view_fixture world;
     world.listTargets({ { 1, "t1", "s/1" } }, 2);
     world.view.setReader(false);
     const auto before = world.store.count("read", store_topic::targets);
     world.view.onPeerTargetChange(7);
-    CHECK(world.timesBehind == 1);
+    CHECK(world.behindCalls == 1);
     CHECK(world.store.count("read", store_topic::targets) == before);
-    world.view.readMissing(); // no peer answers
+    world.view.readMissing(); // no peer responds
     CHECK(world.store.count("read", store_topic::targets) == before + 1);
-    // Confirmed by the peer, so the removal is believed at once.
+    // The peer has confirmed the change, so the removal is applied at once.
     world.lastCall("read", store_topic::targets).onRead(record_page { { { 7, "t1", std::nullopt } }, 8, 8 });
-    CHECK_FALSE(world.takesWork("t1"));
+    CHECK_FALSE(world.acceptsWork("t1"));
 }
--- a/libs/gateway/tests/test_state_pull.cpp
+++ b/libs/gateway/tests/test_state_pull.cpp
@@ -1,4 +1,4 @@
-// A node that lacks something asks its peers.
+// Tests how a node pulls missing state from its peers.
 #include "fake_ports.h"
 #include "state_pull.h"
 
@@ -10,15 +10,15 @@
 
 namespace {
 
-/// Of a node that is a seed itself, so that it reads the store before it asks anybody.
-const endpoint ownPlace { "127.0.0.1", 8146 };
+/// Address of a node that is a seed itself, so that it reads the store before it asks peers.
+const endpoint ownAddress { "127.0.0.1", 8146 };
 
-/// A peer that knows configuration 4 and one target.
-struct knowing_peer {
+/// A peer that has configuration version 4, one target and two nodes.
+struct peer_with_state {
     int asked = 0;
     http_server server;
 
-    knowing_peer()
+    peer_with_state()
         : server(
             {},
             [this](const http_request&, const std::shared_ptr<response_writer>& writer) {
@@ -45,7 +45,7 @@
 };
 
 struct starting_node {
-    /// Longer than any test: what happens, happens at once.
+    /// Longer than any test, so that only immediate requests are observed.
     static constexpr duration interval = 3600s;
 
     fake_store store;
@@ -87,12 +87,11 @@
 
 }
 
-TEST_CASE("test_node_that_starts_asks_a_seed_and_leaves_the_store_alone")
+TEST_CASE("test_starting_node_loads_state_from_a_seed_without_store_calls")
 {
-    // Symptom: most calls of a day to the store are those of nodes that start, ten each.
-    // Sequence: 300 nodes start; each reads the configuration, the targets and the nodes page by page.
-    // Cause: only a node that did not reach the store asked its peers.
-    knowing_peer peer;
+    // Guards against most of a day's store calls being those of starting nodes, ten each: when 300 nodes start, each
+    // would read the configuration, the targets and the nodes page by page unless it asks a seed first.
+    peer_with_state peer;
     starting_node node({ peer.address() });
     REQUIRE(spinUntil([&] { return node.view.hasConfiguration() && node.view.hasTargets(); }));
     CHECK(node.store.calls.empty());
@@ -105,7 +104,7 @@
 
 TEST_CASE("test_node_that_starts_asks_the_store_if_no_seed_answers")
 {
-    starting_node node({ { "127.0.0.1", 1 }, { "127.0.0.1", 2 } }); // nobody listens there
+    starting_node node({ { "127.0.0.1", 1 }, { "127.0.0.1", 2 } }); // no listener at this address
     CHECK(node.store.calls.empty());
     CHECK(spinUntil([&] { return node.store.count("newest", store_topic::configuration) == 1; }));
     CHECK(node.store.count("newest", store_topic::targets) == 1);
@@ -119,21 +118,20 @@
 
 TEST_CASE("test_node_that_starts_without_the_store_asks_a_peer_at_once")
 {
-    // Symptom: a node restarted during an outage of the store refuses all for half a second more than it must.
-    // Sequence: the store refuses its first reads; peers know all that it needs.
-    // Cause: peers are asked only when the next look is due.
-    knowing_peer peer;
-    starting_node node({ peer.address(), ownPlace }, ownPlace);
+    // Guards against a node that rejects requests for half a second longer than necessary after a restart during an
+    // outage of the store: when its first reads fail, it must ask its peers at once rather than at the next check.
+    peer_with_state peer;
+    starting_node node({ peer.address(), ownAddress }, ownAddress);
     node.failFirstReads();
     CHECK(spinUntil([&] { return node.view.hasConfiguration() && node.view.hasTargets(); }));
     CHECK(node.view.configuration()->version() == 4);
-    CHECK(peer.asked == 1); // both topics failed; one question was enough
+    CHECK(peer.asked == 1); // both topics failed; one request was enough
 }
 
-TEST_CASE("test_node_that_lacks_nothing_asks_nobody")
+TEST_CASE("test_up_to_date_node_sends_no_requests")
 {
-    knowing_peer peer;
-    starting_node node({ peer.address(), ownPlace }, ownPlace);
+    peer_with_state peer;
+    starting_node node({ peer.address(), ownAddress }, ownAddress);
     node.failFirstReads();
     REQUIRE(spinUntil([&] { return node.view.hasConfiguration(); }));
     node.pull.onStoreLost();
@@ -145,13 +143,12 @@
 
 TEST_CASE("test_new_version_comes_from_the_peer_with_the_widest_link")
 {
-    // Symptom: a version with many routes is in force seconds late on most nodes.
-    // Sequence: all nodes but the readers ask for it at once, and their links are narrow.
-    // Cause: each took it from the store uncompressed, or from a peer whose link is as narrow.
-    knowing_peer wide;
-    knowing_peer narrow;
+    // Guards against a version with many routes that is in force seconds late on most nodes: all nodes but the readers
+    // request it at once over narrow links, uncompressed from the store or from a peer with a link as narrow.
+    peer_with_state wide;
+    peer_with_state narrow;
     starting_node node({});
-    const auto hear = [&](const char* vm, const knowing_peer& peer, std::uint32_t megabits) {
+    const auto addPeer = [&](const char* vm, const peer_with_state& peer, std::uint32_t megabits) {
         serving::node_state state;
         state.vm = vm;
         state.incarnation = 1;
@@ -161,8 +158,8 @@
         state.linkMegabits = megabits;
         node.nodes.heard(state, boot_clock::now());
     };
-    hear("narrow", narrow, 10);
-    hear("wide", wide, 200);
+    addPeer("narrow", narrow, 10);
+    addPeer("wide", wide, 200);
     node.view.onPeerVersion(4);
     REQUIRE(spinUntil([&] { return node.view.hasConfiguration(); }));
     CHECK(wide.asked == 1);
@@ -181,7 +178,7 @@
     state.vm = "gone";
     state.incarnation = 1;
     state.address = "127.0.0.1";
-    state.adminPort = 1; // nobody listens there
+    state.adminPort = 1; // no listener at this address
     state.configurationVersion = 4;
     node.nodes.heard(state, boot_clock::now());
     const auto before = node.store.count("read", store_topic::configuration);
@@ -189,7 +186,7 @@
     CHECK(spinUntil([&] { return node.store.count("read", store_topic::configuration) > before; }));
 }
 
-TEST_CASE("test_packed_records_survive_and_foreign_bytes_do_not")
+TEST_CASE("test_compressed_records_round_trip_and_malformed_bytes_are_rejected")
 {
     std::string routes;
     for (int i = 0; i < 3000; ++i)
@@ -200,7 +197,7 @@
     REQUIRE(decompressed);
     CHECK(decompressed->offset == 7);
     CHECK(decompressed->value == routes);
-    // Cut off, empty, of a size that nobody means, and no compressed bytes at all.
+    // Truncated, empty, too short, of an implausible size, and not compressed at all.
     for (const auto& bytes : { compressed.bytes.substr(0, compressed.bytes.size() / 2), std::string(),
              std::string("abc"), std::string("\xff\xff\xff\xff") + compressed.bytes.substr(4), std::string(100, 'x') })
         CHECK_FALSE(decompress({ 7, "configuration", bytes }));
