--- a/libs/gateway/include/gateway/caller_protocol.h
+++ b/libs/gateway/include/gateway/caller_protocol.h
@@ -21,8 +21,7 @@
     std::string path;
     std::optional<duration> timeLeft; ///< time until the caller's deadline; empty if the caller sent none
     std::optional<serving::prompt> text; ///< set for requests that carry a prompt
-    std::string
-        lastEventId; ///< id of the last event the caller received of a stream it resumes; empty: the stream starts anew
+    std::string lastEventId; ///< id of the last event received of a stream to resume; empty: a new stream
 };
 
 /// Reason why a request cannot be decoded; names the header or field.
--- a/libs/gateway/src/flow_table.cpp
+++ b/libs/gateway/src/flow_table.cpp
@@ -20,15 +20,15 @@
 {
 }
 
-serving::serving_request flow_table::servingRequest(const routed_request& wanted) const
+serving::serving_request flow_table::servingRequest(const routed_request& routed) const
 {
     serving::serving_request out;
-    out.id = wanted.decoded.id;
-    out.configuration = wanted.configuration;
-    out.route = wanted.route;
-    out.service = serving::chooseService(*wanted.route, wanted.decoded.id);
-    out.patience = wanted.decoded.timeLeft.value_or(defaultTimeLeft);
-    out.text = wanted.decoded.text;
+    out.id = routed.decoded.id;
+    out.configuration = routed.configuration;
+    out.route = routed.route;
+    out.service = serving::chooseService(*routed.route, routed.decoded.id);
+    out.patience = routed.decoded.timeLeft.value_or(defaultTimeLeft);
+    out.text = routed.decoded.text;
     return out;
 }
 
@@ -45,11 +45,11 @@
     return out;
 }
 
-void flow_table::submit(routed_request wanted)
+void flow_table::submit(routed_request routed)
 {
-    auto request = servingRequest(wanted);
+    auto request = servingRequest(routed);
     auto flow = std::make_shared<caller_flow>(
-        m_services, std::move(wanted.request), std::move(wanted.decoded), *wanted.route, std::move(wanted.caller));
+        m_services, std::move(routed.request), std::move(routed.decoded), *routed.route, std::move(routed.caller));
     flow->logAccepted(request);
     serving::command_list commands;
     const request_id id = m_services.decisions.arrive(std::move(request), boot_clock::now(), commands);
--- a/libs/gateway/src/flow_table.h
+++ b/libs/gateway/src/flow_table.h
@@ -24,12 +24,12 @@
     /// `onExecuted` is called after commands were executed, which may have sent prompts to engines.
     flow_table(flow_services& services, std::function<void()> onExecuted);
 
-    void submit(routed_request wanted);
+    void submit(routed_request routed);
     /// Executes commands in order. Execution may add further commands, also reentrantly.
     void execute(serving::command_list commands);
 
 private:
-    serving::serving_request servingRequest(const routed_request& wanted) const;
+    serving::serving_request servingRequest(const routed_request& routed) const;
     caller_flow::callbacks callbacksFor(request_id id);
     void handleCallerGone(request_id id);
     void executeCommand(const serving::command& command);
--- a/libs/gateway/src/node_messages.cpp
+++ b/libs/gateway/src/node_messages.cpp
@@ -38,10 +38,10 @@
     /// megabytes at most.
     constexpr std::uint32_t maxDecompressedBytes = 64U << 20;
 
-    std::size_t sizeOf(const serving::target_news& news)
+    std::size_t sizeOf(const serving::target_news& update)
     {
-        std::size_t size = changeOverhead + news.name.size();
-        if (const auto& record = news.record)
+        std::size_t size = changeOverhead + update.name.size();
+        if (const auto& record = update.record)
             size += record->service.size() + record->address.size() + record->availabilityZone.size();
         return size;
     }
@@ -295,10 +295,10 @@
 std::vector<cache_update_batch> splitCacheUpdates(std::vector<cache_update> caches)
 {
     std::vector<cache_update_batch> notes;
-    for (auto& news : caches) {
+    for (auto& update : caches) {
         if (notes.empty() || notes.back().caches.size() >= maxUpdatesPerBatch)
             notes.emplace_back();
-        notes.back().caches.push_back(news);
+        notes.back().caches.push_back(update);
     }
     return notes;
 }
--- a/libs/gateway/src/shared_view.cpp
+++ b/libs/gateway/src/shared_view.cpp
@@ -26,8 +26,9 @@
     /// First retry pause of readers.
     constexpr duration readerFirstRetryPause = 150ms;
     /// While the store fails, readers retry at least this often, so that they announce its return within a third of the
-    /// time within which a version must be in force. Other nodes retry at their own pace below.
+    /// time within which a version must be in force.
     constexpr duration readerMaxRetryPause = 600ms;
+    /// While the store fails, the other nodes retry at least this often.
     constexpr duration followerRetryPause = 5s;
     /// Retry pause after a failed call whose answer a peer has supplied. The call is still retried because a node must
     /// reach the store to become a reader.
@@ -252,27 +253,27 @@
 {
     std::vector<serving::target_news> out;
     for (const auto& record : records) {
-        serving::target_news news { record.offset, record.key, std::nullopt };
+        serving::target_news update { record.offset, record.key, std::nullopt };
         if (record.value)
-            decodeTarget(record, news);
-        out.push_back(std::move(news));
+            decodeTarget(record, update);
+        out.push_back(std::move(update));
     }
     return out;
 }
 
 // An entry overwritten by another writer counts as foreign rather than being ignored, since its former target would
 // otherwise stay in use although nothing declares it any more.
-void cluster_view::decodeTarget(const keyed_record& record, serving::target_news& news) const
+void cluster_view::decodeTarget(const keyed_record& record, serving::target_news& update) const
 {
     auto decoded = m_parts.records.decodeTarget(record.key, *record.value);
     if (const auto* fault = std::get_if<record_fault>(&decoded)) {
-        news.isForeign = true;
+        update.isForeign = true;
         m_parts.counters.count("tamarack_target_record_faults_total");
         m_parts.log.write(log_event::target_record_invalid,
             { { "target", record.key }, { "field", fault->field }, { "message", fault->message } });
         return;
     }
-    news.record = std::get<serving::target_record>(std::move(decoded));
+    update.record = std::get<serving::target_record>(std::move(decoded));
 }
 
 void cluster_view::applyFollowStep(serving::follow_step step)
--- a/libs/gateway/src/shared_view.h
+++ b/libs/gateway/src/shared_view.h
@@ -123,7 +123,7 @@
     std::vector<serving::target_news> decodeTargets(const std::vector<keyed_record>& records) const;
     void applyFollowStep(serving::follow_step step);
     /// Fills in the decoded value of the record.
-    void decodeTarget(const keyed_record& record, serving::target_news& news) const;
+    void decodeTarget(const keyed_record& record, serving::target_news& update) const;
     void apply(const serving::target_changes& changes);
     void logChanges(const serving::target_changes& changes) const;
     void applyReadIntervals();
--- a/libs/gateway/tests/test_shared_view.cpp
+++ b/libs/gateway/tests/test_shared_view.cpp
@@ -362,14 +362,14 @@
     CHECK(bytes.size() <= 100);
     const auto decoded = decodeDatagram(bytes);
     REQUIRE(decoded);
-    const auto& heard = std::get<node_heartbeat>(*decoded);
-    CHECK(heard.pulse.node == 7);
-    CHECK(heard.pulse.lastTargetChange == 10);
-    CHECK(heard.pulse.storeReach == serving::store_reach::reached);
-    CHECK_FALSE(heard.fullState);
-    REQUIRE(heard.load.size() == 1);
-    CHECK(heard.load[0].running == 2);
-    CHECK(heard.jobs.size() == 1);
+    const auto& received = std::get<node_heartbeat>(*decoded);
+    CHECK(received.pulse.node == 7);
+    CHECK(received.pulse.lastTargetChange == 10);
+    CHECK(received.pulse.storeReach == serving::store_reach::reached);
+    CHECK_FALSE(received.fullState);
+    REQUIRE(received.load.size() == 1);
+    CHECK(received.load[0].running == 2);
+    CHECK(received.jobs.size() == 1);
 }
 
 TEST_CASE("test_missing_changes_are_requested_after_a_lost_note")
