--- a/libs/gateway/src/shared_view.cpp
+++ b/libs/gateway/src/cluster_view.cpp
@@ -1,5 +1,5 @@
 // Applies the records of the store and the messages of peers to the dispatcher and the node directory.
-#include "shared_view.h"
+#include "cluster_view.h"
 
 #include "observe/name_sample.h"
 
--- a/libs/gateway/src/gateway.cpp
+++ b/libs/gateway/src/gateway.cpp
@@ -2,12 +2,12 @@
 #include "gateway/gateway.h"
 
 #include "cache_watch.h"
+#include "cluster_view.h"
 #include "flow_table.h"
+#include "node_endpoints.h"
 #include "peer_talk.h"
 #include "registration.h"
-#include "role_orders.h"
-#include "service_pages.h"
-#include "shared_view.h"
+#include "role_coordinator.h"
 #include "state_pull.h"
 
 #include "base/hash.h"
--- a/libs/gateway/src/service_pages.cpp
+++ b/libs/gateway/src/node_endpoints.cpp
@@ -1,5 +1,5 @@
 // Implements the endpoints, each on an address of its own.
-#include "service_pages.h"
+#include "node_endpoints.h"
 
 #include <algorithm>
 #include <vector>
--- a/libs/gateway/src/peer_mesh.cpp
+++ b/libs/gateway/src/peer_socket.cpp
@@ -1,5 +1,5 @@
 // Implements peer_socket with QUdpSocket. Lost datagrams are not retransmitted, as later messages supersede them.
-#include "peer_mesh.h"
+#include "peer_socket.h"
 
 namespace tamarack {
 
--- a/libs/gateway/src/peer_talk.h
+++ b/libs/gateway/src/peer_talk.h
@@ -2,9 +2,9 @@
 #pragma once
 
 #include "cache_watch.h"
-#include "peer_mesh.h"
-#include "role_orders.h"
-#include "shared_view.h"
+#include "cluster_view.h"
+#include "peer_socket.h"
+#include "role_coordinator.h"
 
 #include "base/random_source.h"
 #include "observe/name_sample.h"
--- a/libs/gateway/src/role_orders.cpp
+++ b/libs/gateway/src/role_coordinator.cpp
@@ -1,5 +1,5 @@
 // Implements the steps of a role change.
-#include "role_orders.h"
+#include "role_coordinator.h"
 
 #include "base/hash.h"
 
--- a/libs/gateway/src/state_pull.h
+++ b/libs/gateway/src/state_pull.h
@@ -1,7 +1,7 @@
 // Pulls state from peers: at the start, while the store is unreachable, and when this node has missed changes.
 #pragma once
 
-#include "shared_view.h"
+#include "cluster_view.h"
 
 #include "http/http_client.h"
 
--- a/libs/gateway/tests/test_shared_view.cpp
+++ b/libs/gateway/tests/test_cluster_view.cpp
@@ -1,6 +1,6 @@
 // Tests how a node learns the configuration and the targets from the store and from peers.
+#include "cluster_view.h"
 #include "fake_ports.h"
-#include "shared_view.h"
 
 using namespace tamarack;
 using namespace tamarack::tests;
--- a/libs/gateway/tests/test_service_pages.cpp
+++ b/libs/gateway/tests/test_node_endpoints.cpp
@@ -1,6 +1,6 @@
 // Tests the limits of responses to peers.
 #include "fake_ports.h"
-#include "service_pages.h"
+#include "node_endpoints.h"
 
 #include <QTcpServer>
 
--- a/libs/gateway/tests/test_role_orders.cpp
+++ b/libs/gateway/tests/test_role_coordinator.cpp
@@ -1,6 +1,6 @@
 // Tests the steps of a role change against an engine that counts its requests.
 #include "fake_ports.h"
-#include "role_orders.h"
+#include "role_coordinator.h"
 
 #include "http/http_server.h"
 
