--- a/libs/gateway/include/gateway/caller_protocol.h
+++ b/libs/gateway/include/gateway/caller_protocol.h
@@ -16,7 +16,7 @@
 
 /// A caller's request, decoded once on arrival.
 struct caller_request {
-    std::string id; ///< unique for each attempt of the caller
+    std::string id; ///< unique per request; a retry by the caller has another id
     std::string host;
     std::string path;
     std::optional<duration> timeLeft; ///< time until the caller's deadline; empty if the caller sent none
--- a/libs/gateway/include/gateway/gateway_settings.h
+++ b/libs/gateway/include/gateway/gateway_settings.h
@@ -26,12 +26,10 @@
 
     // Time bounds and limits set by the platform.
     duration drainBound = std::chrono::seconds(2); ///< a draining target receives no new requests after this time
-    duration configurationBound
-        = std::chrono::seconds(2); ///< a new configuration version is in force on every node within this time
+    duration configurationBound = std::chrono::seconds(2); ///< a new version is in force on every node within this time
     duration stopBound = std::chrono::seconds(8); ///< from SIGTERM to process exit
     duration maxEntryLifetime = std::chrono::seconds(5); ///< longest time for which callers may cache entry addresses
-    duration orderHandoverInterval
-        = std::chrono::seconds(3); ///< minimum interval between orders of two different nodes to an engine
+    duration orderHandoverInterval = std::chrono::seconds(3); ///< between orders of two nodes to one engine
     double retryRatio = 0.2;
     double retrySlack = 0;
     duration retryWindow = std::chrono::seconds(10);
--- a/libs/gateway/src/caller_flow.cpp
+++ b/libs/gateway/src/caller_flow.cpp
@@ -117,8 +117,7 @@
     m_isPaused = false;
     exchange_options options;
     options.connectTimeout = connectTimeout;
-    options.silenceTimeout
-        = command.timeLeft + connectTimeout; // the dispatcher cancels an attempt at a silent target earlier
+    options.silenceTimeout = command.timeLeft + connectTimeout; // the dispatcher gives up a silent target earlier
     options.longestIdle = command.longestIdle;
     exchange_handlers handlers;
     const auto weak = weak_from_this();
--- a/libs/gateway/src/node_messages.h
+++ b/libs/gateway/src/node_messages.h
@@ -85,8 +85,7 @@
 /// A node's knowledge of the contents of the engines' caches.
 struct cache_snapshot {
     std::vector<cache_update> parts;
-    bool isComplete
-        = false; ///< the sender has monitored the engines long enough, or has received a complete snapshot itself
+    bool isComplete = false; ///< the sender has monitored long enough, or was given a complete snapshot
 };
 
 /// A target note is sent by a node that reads the target list on behalf of others.
