--- a/libs/gateway/src/flow_table.cpp
+++ b/libs/gateway/src/flow_table.cpp
@@ -27,7 +27,7 @@
     out.configuration = wanted.configuration;
     out.route = wanted.route;
     out.service = serving::chooseService(*wanted.route, wanted.decoded.id);
-    out.patience = wanted.decoded.patience.value_or(usualPatience);
+    out.callerTimeout = wanted.decoded.patience.value_or(usualPatience);
     out.text = wanted.decoded.text;
     return out;
 }
--- a/libs/serving/include/serving/placement.h
+++ b/libs/serving/include/serving/placement.h
@@ -54,9 +54,9 @@
     /// Sets the number of nodes, this one included, that share the connections of each target.
     void setKnownNodes(int nodes) { m_knownNodes = nodes < 1 ? 1 : nodes; }
     /// Chooses the first target of a request, or the next one after a failure.
-    target_choice chooseFirst(const placement_query& need, instant now);
+    target_choice chooseFirst(const placement_query& query, instant now);
     /// Chooses the engine that decodes the answer of a prompt that `source` has prefilled.
-    target_choice chooseDecode(const placement_query& need, target_id source, instant now);
+    target_choice chooseDecode(const placement_query& query, target_id source, instant now);
     /// Whether the service has any listed targets.
     bool hasTargets(const std::string& service) const { return !m_inputs.fleet.rowsOf(service).empty(); }
 
@@ -68,14 +68,14 @@
     };
 
     /// The targets that accept new requests now; the one to avoid only if there is no other.
-    const std::vector<std::uint32_t>& candidates(const placement_query& need, instant now);
+    const std::vector<std::uint32_t>& candidates(const placement_query& query, instant now);
     /// Whether the target's role fits its service: engines for a service of engines, plain targets for others.
     bool matchesServiceKind(std::uint32_t row) const;
     bool hasCapacity(target_id id) const;
     target_choice choosePlain(instant now);
     /// The mean number of peers' requests at a candidate.
     double meanPeersRunning() const;
-    target_choice chooseEngine(const placement_query& need, instant now);
+    target_choice chooseEngine(const placement_query& query, instant now);
     /// The cost of the slots in use at an engine, in equivalent seconds of waiting.
     double occupancyPenaltySeconds(target_id id) const;
     /// The cost of a new connection to the target, in equivalent seconds of waiting; 0 if an idle one exists.
@@ -86,15 +86,15 @@
     /// of waiting.
     double pausePenaltySeconds(target_id id, double work, instant now);
     /// Fills m_prefixHolders with the engines that have some of the prompt's prefix cached.
-    void findPrefixHolders(const placement_query& need);
+    void findPrefixHolders(const placement_query& query);
     /// The engine from which `id` should fetch the prefix; 0 tokens if there is none.
     cached_prefix bestHolderFor(target_id id) const;
     /// Predicts the prefill of the prompt at an engine, with its prefix fetched from another engine where that saves
     /// work.
-    target_choice estimatePrefill(target_id id, const placement_query& need, instant now) const;
+    target_choice estimatePrefill(target_id id, const placement_query& query, instant now) const;
     double transferTime(std::int64_t tokens, target_id from, target_id to) const;
     /// Seconds from the end of the prefill to the first event at another engine.
-    double handoverSeconds(target_id prefillEngine, const placement_query& need) const;
+    double handoverSeconds(target_id prefillEngine, const placement_query& query) const;
     /// Seconds for which a late request can delay others at the target, beyond those for which late requests there do
     /// so already.
     double addedBlockingSeconds(const target_choice& choice, instant now) const;
--- a/libs/serving/include/serving/serving_request.h
+++ b/libs/serving/include/serving/serving_request.h
@@ -31,7 +31,7 @@
     std::shared_ptr<const serving_configuration> configuration; ///< in force on arrival; owns `route`
     const route_rule* route = nullptr;
     std::string service;
-    duration patience = duration::zero(); ///< from arrival; after it the caller no longer waits for the answer
+    duration callerTimeout = duration::zero(); ///< from arrival; after it the caller no longer waits for the answer
     std::optional<prompt> text;
 };
 
--- a/libs/serving/src/in_flight_requests.cpp
+++ b/libs/serving/src/in_flight_requests.cpp
@@ -19,7 +19,7 @@
     const auto at = m_freeRows.back();
     m_freeRows.pop_back();
     const auto& route = *added.route;
-    duration longest = added.patience;
+    duration longest = added.callerTimeout;
     if (route.timeout > duration::zero())
         longest = std::min(longest, route.timeout);
     times[at] = { now, now + std::min(route.aim, longest), now + longest };
--- a/libs/serving/src/placement.cpp
+++ b/libs/serving/src/placement.cpp
@@ -57,11 +57,11 @@
     constexpr double latePenaltySeconds = 10;
     /// A prefill that a cached prefix would save delays other requests at the engine as well as this one.
     constexpr double sharedWorkWeight = 1.0;
-    /// The cost of a certain failure.
+    /// The cost of an attempt that is certain to fail.
     constexpr double failurePenaltySeconds = 0.3;
     /// The cost of a target in another availability zone, in slots.
     constexpr double otherZonePenaltySlots = 1.5;
-    /// The cost of a certain failure at a plain target, in slots; a lost call is worth far more than a wait. With two
+    /// The same at a plain target, in slots; a lost call is worth far more than a wait. With two
     /// of three targets losing 30% of their answers for 5 s, nine nodes lost 25 of 450 calls at 12, and 9 at 40.
     constexpr double failurePenaltySlots = 40;
     /// A small random part keeps nodes with the same view from choosing the same target.
@@ -86,21 +86,21 @@
 {
 }
 
-const std::vector<std::uint32_t>& placement::candidates(const placement_query& need, instant now)
+const std::vector<std::uint32_t>& placement::candidates(const placement_query& query, instant now)
 {
     m_candidates.clear();
-    m_profile = need.request.configuration->findService(need.request.service);
+    m_profile = query.request.configuration->findService(query.request.service);
     bool hasAvoided = false;
-    for (const auto row : m_inputs.fleet.rowsOf(need.request.service)) {
+    for (const auto row : m_inputs.fleet.rowsOf(query.request.service)) {
         if (!m_inputs.fleet.acceptsWork({ row }, now) || !matchesServiceKind(row))
             continue;
-        if (target_id { row } == need.avoid)
+        if (target_id { row } == query.avoid)
             hasAvoided = true;
         else
             m_candidates.push_back(row);
     }
     if (m_candidates.empty() && hasAvoided)
-        m_candidates.push_back(need.avoid.value);
+        m_candidates.push_back(query.avoid.value);
     return m_candidates;
 }
 
@@ -123,13 +123,13 @@
     return fleet.running(id) < requestsPerSlot * fleet.slots[id.value];
 }
 
-target_choice placement::chooseFirst(const placement_query& need, instant now)
+target_choice placement::chooseFirst(const placement_query& query, instant now)
 {
-    const auto& rows = candidates(need, now);
+    const auto& rows = candidates(query, now);
     if (rows.empty())
         return {};
     const bool isEngineService = isEngine(m_inputs.fleet.role[rows.front()]);
-    return isEngineService ? chooseEngine(need, now) : choosePlain(now);
+    return isEngineService ? chooseEngine(query, now) : choosePlain(now);
 }
 
 double placement::meanPeersRunning() const
@@ -162,8 +162,8 @@
     return best;
 }
 
-// An engine whose slots are all taken preempts a running request for a more urgent one, and later prefills the whole
-// prompt again.
+// The penalty keeps slots free: an engine whose slots are all taken preempts a running request for a more urgent one,
+// and later prefills the whole prompt again.
 double placement::occupancyPenaltySeconds(target_id id) const
 {
     return occupancyWeight * std::max(0.0, occupancyShare(id) - occupancyThreshold);
@@ -196,13 +196,13 @@
     return latePenaltySeconds * (ownPauseShare + affected);
 }
 
-void placement::findPrefixHolders(const placement_query& need)
+void placement::findPrefixHolders(const placement_query& query)
 {
     m_prefixHolders.clear();
-    if (!need.request.text)
+    if (!query.request.text)
         return;
     for (const auto row : m_candidates) {
-        const auto tokens = m_inputs.caches.fetchableTokens({ row }, *need.request.text);
+        const auto tokens = m_inputs.caches.fetchableTokens({ row }, *query.request.text);
         if (tokens > 0)
             m_prefixHolders.push_back({ { row }, tokens });
     }
@@ -223,33 +223,33 @@
     return best;
 }
 
-target_choice placement::estimatePrefill(target_id id, const placement_query& need, instant now) const
+target_choice placement::estimatePrefill(target_id id, const placement_query& query, instant now) const
 {
     const auto& fleet = m_inputs.fleet;
     target_choice choice;
     choice.target = id;
-    if (need.request.text) {
-        const auto& text = *need.request.text;
-        const auto kept = m_inputs.caches.reusableTokens(id, text);
+    if (query.request.text) {
+        const auto& text = *query.request.text;
+        const auto reusable = m_inputs.caches.reusableTokens(id, text);
         const auto holder = bestHolderFor(id);
         // The source is also named if the engine should have the prefix cached: its cache events arrive late, and parts
         // that were evicted meanwhile are fetched instead of prefilled again.
-        if (holder.tokens > 0 && holder.tokens >= kept)
+        if (holder.tokens > 0 && holder.tokens >= reusable)
             choice.fetchFrom = holder.engine;
-        choice.isFetching = holder.tokens > kept;
+        choice.isFetching = holder.tokens > reusable;
         if (choice.isFetching)
-            choice.transferSeconds = transferTime(holder.tokens - kept, holder.engine, id);
-        choice.work = prefillWork(std::max(kept, holder.tokens), text.inputTokens);
+            choice.transferSeconds = transferTime(holder.tokens - reusable, holder.engine, id);
+        choice.work = prefillWork(std::max(reusable, holder.tokens), text.inputTokens);
     }
     choice.seconds = choice.transferSeconds + m_inputs.pace.prefillOverheadSeconds(id);
     choice.seconds += m_inputs.queues.prefillSeconds(id, choice.work, now);
     if (fleet.role[id.value] == target_role::prefill) {
         choice.stage = attempt_stage::prefill;
-        choice.seconds += handoverSeconds(id, need);
+        choice.seconds += handoverSeconds(id, query);
     }
     choice.rank = rankOf(choice.work);
     choice.waitSeconds = m_inputs.queues.waitSeconds(id, choice.rank, now);
-    if (choice.seconds + choice.waitSeconds > need.secondsUntilAim) {
+    if (choice.seconds + choice.waitSeconds > query.secondsUntilAim) {
         choice.rank = prefill_rank::late;
         choice.waitSeconds = m_inputs.queues.waitSeconds(id, choice.rank, now);
     }
@@ -264,9 +264,9 @@
 }
 
 // The decoding engine is chosen after the prefill, so any of them stands for it here.
-double placement::handoverSeconds(target_id prefillEngine, const placement_query& need) const
+double placement::handoverSeconds(target_id prefillEngine, const placement_query& query) const
 {
-    const auto tokens = need.request.text ? need.request.text->inputTokens : 0;
+    const auto tokens = query.request.text ? query.request.text->inputTokens : 0;
     double base = 0;
     for (const auto row : m_candidates) {
         if (m_inputs.fleet.role[row] != target_role::prefill) {
@@ -293,18 +293,18 @@
     return lateSlotSeconds * occupancyShare(id);
 }
 
-target_choice placement::chooseEngine(const placement_query& need, instant now)
+target_choice placement::chooseEngine(const placement_query& query, instant now)
 {
     const auto& fleet = m_inputs.fleet;
-    findPrefixHolders(need);
+    findPrefixHolders(query);
     target_choice best;
     double lowest = std::numeric_limits<double>::max();
     for (const auto row : m_candidates) {
         const target_id id { row };
         const bool isPrefill = fleet.role[row] == target_role::prefill;
-        if (!hasCapacity(id) || (isPrefill && !(need.request.text && need.maySplitPrefill)))
+        if (!hasCapacity(id) || (isPrefill && !(query.request.text && query.maySplitPrefill)))
             continue;
-        const auto choice = estimatePrefill(id, need, now);
+        const auto choice = estimatePrefill(id, query, now);
         double cost = choice.seconds + sharedWorkWeight * m_inputs.queues.prefillSeconds(id, choice.work, now);
         cost += noiseSeconds * m_random.unit() + failurePenaltySeconds * m_inputs.health.failureShare(id, now);
         if (choice.rank == prefill_rank::late)
@@ -333,14 +333,14 @@
 {
     if (!request.text || request.text->inputTokens <= 0)
         return 0;
-    const auto kept = static_cast<double>(m_inputs.caches.reusableTokens(id, *request.text));
-    return 1 - kept / static_cast<double>(request.text->inputTokens);
+    const auto reusable = static_cast<double>(m_inputs.caches.reusableTokens(id, *request.text));
+    return 1 - reusable / static_cast<double>(request.text->inputTokens);
 }
 
-target_choice placement::chooseDecode(const placement_query& need, target_id source, instant now)
+target_choice placement::chooseDecode(const placement_query& query, target_id source, instant now)
 {
     const auto& fleet = m_inputs.fleet;
-    candidates(need, now);
+    candidates(query, now);
     target_choice best;
     double lowest = std::numeric_limits<double>::max();
     for (const auto row : m_candidates) {
@@ -352,7 +352,7 @@
             = m_profile && m_pauses.prefillBudgetSeconds(id, *m_profile, now) < std::numeric_limits<double>::infinity();
         const auto rank = isPauseProne ? prefill_rank::late : prefill_rank::tiny;
         const double wait = m_inputs.queues.waitSeconds(id, rank, now);
-        const auto tokens = need.request.text ? need.request.text->inputTokens : 0;
+        const auto tokens = query.request.text ? query.request.text->inputTokens : 0;
         const double transfer = transferTime(tokens, source, id);
         double cost = wait + transfer + noiseSeconds * m_random.unit();
         cost += failurePenaltySeconds * m_inputs.health.failureShare(id, now);
@@ -361,7 +361,7 @@
             cost += latePenaltySeconds * ownPauseShare;
         if (fleet.zone[row] != fleet.zone[source.value])
             cost += otherZonePenaltySeconds;
-        cost += importPenaltySeconds * uncachedShare(id, need.request);
+        cost += importPenaltySeconds * uncachedShare(id, query.request);
         if (cost >= lowest)
             continue;
         lowest = cost;
--- a/libs/serving/src/role_split.cpp
+++ b/libs/serving/src/role_split.cpp
@@ -134,25 +134,25 @@
         return {};
     const int wanted = std::clamp(share(m_settings.prefillShare, rows.size()), 1, engines - minDecodeEngines);
     const int missing = wanted - prefillEngines;
-    const int least = isIdle ? 1 : std::max(1, share(busyTolerance, rows.size()));
+    const int minMissing = isIdle ? 1 : std::max(1, share(busyTolerance, rows.size()));
     const bool isSurplus = -missing > static_cast<int>(surplusTolerance * engines);
-    const int size = missing >= least || isSurplus ? missing : 0;
+    const int change = missing >= minMissing || isSurplus ? missing : 0;
 
-    auto& held = m_shortages[service];
-    const int direction = size > 0 ? 1 : (size < 0 ? -1 : 0);
-    if (held.direction != direction)
-        held = { direction, now };
+    auto& shortage = m_shortages[service];
+    const int direction = change > 0 ? 1 : (change < 0 ? -1 : 0);
+    if (shortage.direction != direction)
+        shortage = { direction, now };
     const bool mayReturn = !isIdle && m_lostAt != instant() && now < m_lostAt + lossSettleTime;
-    if (size == 0 || mayReturn || now < held.since + settleTime)
+    if (change == 0 || mayReturn || now < shortage.since + settleTime)
         return {};
-    const bool hasSparePrefill = size > 0 && !isIdle && prefillWaitSeconds < minPrefillWaitSeconds;
-    const int most = hasSparePrefill ? 0 : allowedChanges(std::abs(size), engines, changing, isIdle);
-    if (most <= 0)
+    const bool hasSparePrefill = change > 0 && !isIdle && prefillWaitSeconds < minPrefillWaitSeconds;
+    const int maxChanges = hasSparePrefill ? 0 : allowedChanges(std::abs(change), engines, changing, isIdle);
+    if (maxChanges <= 0)
         return {};
     m_wasIdle = isIdle;
     m_lastDecision = { service, engines, prefillEngines, wanted, isIdle };
-    const auto role = size > 0 ? target_role::prefill : target_role::decode;
-    return choose(rows, role, static_cast<std::size_t>(most), now);
+    const auto role = change > 0 ? target_role::prefill : target_role::decode;
+    return choose(rows, role, static_cast<std::size_t>(maxChanges), now);
 }
 
 int role_split::allowedChanges(int missing, int engines, int changing, bool isIdle) const
--- a/libs/serving/tests/model/engine_model.cpp
+++ b/libs/serving/tests/model/engine_model.cpp
@@ -249,9 +249,10 @@
         if (item.decodesFrom) {
             if (*item.decodesFrom < stepEnd)
                 decodeToken(item);
-            if (*item.decodesFrom < stepEnd && item.written % m_profile.tokensPerEvent == 1 % m_profile.tokensPerEvent)
+            if (*item.decodesFrom < stepEnd
+                && item.decodedTokens % m_profile.tokensPerEvent == 1 % m_profile.tokensPerEvent)
                 events.push_back(item.job.key); // the first token is an event by itself
-            if (item.written >= item.job.outputTokens)
+            if (item.decodedTokens >= item.job.outputTokens)
                 ended.push_back(item.job.key);
         } else if (item.tokensToPrefill == 0) {
             finishPrefill(item, now);
@@ -274,7 +275,7 @@
 
 void engine_model::decodeToken(held_job& item)
 {
-    ++item.written;
+    ++item.decodedTokens;
     ++item.context;
 }
 
@@ -311,7 +312,7 @@
 {
     std::int64_t inUse = 0;
     for (const auto& item : m_running)
-        inUse += item.written; // the prompts themselves are among the parts
+        inUse += item.decodedTokens; // the prompts themselves are among the parts
     while (m_partTokens + inUse > m_profile.memoryTokens && !m_order.empty()) {
         const auto oldest = m_order.front();
         m_order.pop_front();
--- a/libs/serving/tests/model/engine_model.h
+++ b/libs/serving/tests/model/engine_model.h
@@ -91,7 +91,7 @@
         instant readyAt; // the end of its transfers
         std::int64_t tokensToPrefill = 0; // -1: unknown until the job is admitted
         std::int64_t context = 0; // tokens in the KV cache
-        std::int64_t written = 0;
+        std::int64_t decodedTokens = 0;
         std::optional<instant> decodesFrom; // set when the prompt is prefilled
     };
     struct cached_part {
--- a/libs/serving/tests/model/fleet_model.cpp
+++ b/libs/serving/tests/model/fleet_model.cpp
@@ -72,7 +72,7 @@
         route.carriesPrompt = true;
         route.maxAttempts = kind.isRepeatable ? 2 : 1;
         route.priority = kind.priority;
-        route.timeout = kind.patience;
+        route.timeout = kind.timeout;
         route.aim = kind.aim;
         route.gapAim = kind.gapAim;
         routes.push_back(std::move(route));
@@ -283,7 +283,7 @@
     request.configuration = m_configuration;
     request.route = &m_configuration->routes()[kind];
     request.service = "engines";
-    request.patience = m_profile.kinds[kind].patience - (m_now - asked.at);
+    request.callerTimeout = m_profile.kinds[kind].timeout - (m_now - asked.at);
     request.text = asked.generated.text;
     command_list out;
     const auto id = m_nodes[node].decisions->arrive(std::move(request), m_now, out);
@@ -330,7 +330,7 @@
     }
     ++asked.tries;
     asked.currentKey = 0;
-    const auto left = m_profile.kinds[asked.generated.kind].patience - (m_now - asked.at);
+    const auto left = m_profile.kinds[asked.generated.kind].timeout - (m_now - asked.at);
     const auto node = m_inService[m_random.below(m_inService.size())];
     schedule(std::min(retryAfter, left / maxRetryDelayDivisor), [this, asked = std::move(asked), node] {
         // The node may have restarted meanwhile.
--- a/libs/serving/tests/model/fleet_profile.h
+++ b/libs/serving/tests/model/fleet_profile.h
@@ -24,7 +24,7 @@
     double lateValue = 0;
     duration aim = duration::zero();
     duration gapAim = duration::zero();
-    duration patience = duration::zero();
+    duration timeout = duration::zero();
     int priority = 0;
     bool isRepeatable = false;
     int prefixes = 1; ///< number of prefixes that requests share
--- a/libs/serving/tests/model/random_fleets.cpp
+++ b/libs/serving/tests/model/random_fleets.cpp
@@ -91,7 +91,7 @@
             kind.events.max = 4 * kind.events.mean;
             kind.prefixes = isLong ? logInteger(40, 500) : logInteger(40, 400);
             kind.aim = isLong ? fromSeconds(between(0.5, 1)) : fromSeconds(between(0.25, 0.5));
-            kind.patience = fromSeconds(between(3, 8));
+            kind.timeout = fromSeconds(between(3, 8));
             kind.priority = isLong ? 2 : static_cast<int>(m_random.below(2));
             kind.isRepeatable = !isLong && happens(0.5);
             kind.value = isLong ? logBetween(2, 13) : logBetween(1, 2);
--- a/libs/serving/tests/model/users_fleets.cpp
+++ b/libs/serving/tests/model/users_fleets.cpp
@@ -66,11 +66,11 @@
         large.value = 11;
         large.lateValue = 3.4;
         large.aim = 800ms;
-        large.patience = 6s;
+        large.timeout = 6s;
         auto small = smallPrompts();
         small.value = 1.5;
         small.lateValue = 0.44;
-        small.patience = 4s;
+        small.timeout = 4s;
         out.kinds = { large, small };
         return out;
     }
@@ -84,12 +84,12 @@
         large.value = 13;
         large.lateValue = 3.8;
         large.aim = 600ms;
-        large.patience = 5s;
+        large.timeout = 5s;
         auto small = smallPrompts();
         small.value = 1.4;
         small.lateValue = 0.43;
         small.aim = 300ms;
-        small.patience = 3s;
+        small.timeout = 3s;
         out.kinds = { large, small };
         return out;
     }
@@ -150,7 +150,7 @@
     out.kinds[0].lateValue = 2.3;
     out.kinds[0].sendTime = 10ms; // 17 KB over the slow links of most nodes
     out.kinds[1].aim = 400ms;
-    out.kinds[1].patience = 3s;
+    out.kinds[1].timeout = 3s;
     return out;
 }
 
@@ -209,7 +209,7 @@
         digest.shared = { 4'870, 0.7, 14'600 };
         digest.own = { 6'610, 1.4, 54'600 };
         digest.aim = 800ms;
-        digest.patience = 8s;
+        digest.timeout = 8s;
         digest.priority = 2;
         request_profile note;
         note.name = "note";
@@ -219,7 +219,7 @@
         note.own = { 628, 1.0, 3'310 };
         note.prefixes = 402;
         note.aim = 250ms;
-        note.patience = 8s;
+        note.timeout = 8s;
         note.isRepeatable = true;
         request_profile tag;
         tag.name = "tag";
@@ -230,7 +230,7 @@
         tag.events = { 2.05, 1.4, 8.2 };
         tag.prefixes = 340;
         tag.aim = 300ms;
-        tag.patience = 2500ms;
+        tag.timeout = 2500ms;
         tag.priority = 1;
         out.kinds = { digest, note, tag };
         for (auto& kind : out.kinds)
--- a/libs/serving/tests/serving_fixture.h
+++ b/libs/serving/tests/serving_fixture.h
@@ -119,7 +119,7 @@
         request.configuration = configuration;
         request.route = &configuration->routes()[route];
         request.service = request.route->shares.front().service;
-        request.patience = patience;
+        request.callerTimeout = patience;
         return request;
     }
     /// `beginning` names the part that requests share.
--- a/libs/serving/tests/test_engine_pace.cpp
+++ b/libs/serving/tests/test_engine_pace.cpp
@@ -45,12 +45,12 @@
     pace_world world;
     const auto first = world.add("e1", target_role::prefill);
     const auto other = world.add("e2", target_role::prefill);
-    const auto writer = world.add("e3", target_role::decode);
-    const double assumed = world.pace.typicalSecondsPerToken(writer);
+    const auto decodeEngine = world.add("e3", target_role::decode);
+    const double assumed = world.pace.typicalSecondsPerToken(decodeEngine);
     world.addPrefills(first, 300, 0.01, 13e-6);
     CHECK(world.pace.secondsPerToken(other, world.now) == Approx(13e-6).epsilon(0.1));
     CHECK(world.pace.prefillOverheadSeconds(other) == Approx(0.01).margin(0.006));
-    CHECK(world.pace.typicalSecondsPerToken(writer) == assumed);
+    CHECK(world.pace.typicalSecondsPerToken(decodeEngine) == assumed);
 }
 
 TEST_CASE("test_pace_is_learned_from_any_initial_estimate_and_despite_unreported_load")
--- a/libs/serving/tests/test_target_health.cpp
+++ b/libs/serving/tests/test_target_health.cpp
@@ -125,7 +125,7 @@
     CHECK(played.atFailing * 3 > played.askedAfter); // used again after they have recovered
     const auto many = failing_targets(82, true).run(200);
     const auto withoutReports = failing_targets(82, false).run(200);
-    std::printf("82 nodes: %d lost, %d if peers are not told\n", many.lost, withoutReports.lost);
+    std::printf("82 nodes: %d lost, %d without reports to peers\n", many.lost, withoutReports.lost);
     CHECK(many.lost * 2 < withoutReports.lost);
 }
 
