--- a/libs/serving/include/serving/engine_pace.h
+++ b/libs/serving/include/serving/engine_pace.h
@@ -10,9 +10,10 @@
 
 namespace tamarack::serving {
 
-/// The cost of prefilling `total` tokens of which `kept` are in the engine's KV cache, in tokens that take the usual
-/// time each. Every token attends to all tokens before it, so the cost grows faster than the length of the prompt.
-double prefillWork(std::int64_t kept, std::int64_t total);
+/// The cost of prefilling `totalTokens` tokens of which `cachedTokens` are in the engine's KV cache, in tokens that
+/// take the usual time each. Every token attends to all tokens before it, so the cost grows faster than the length of
+/// the prompt.
+double prefillWork(std::int64_t cachedTokens, std::int64_t totalTokens);
 
 /// Seconds to transfer the KV cache of `tokens` tokens from one engine to another, from the link speed in the
 /// configuration.
--- a/libs/serving/include/serving/fleet_table.h
+++ b/libs/serving/include/serving/fleet_table.h
@@ -48,7 +48,7 @@
     void removeRunning(target_id id);
 
     // Columns, all of the same length.
-    std::vector<std::string> instance; // name and incarnation of the target
+    std::vector<std::string> instance; // identifies one incarnation of the target
     std::vector<std::uint32_t> instanceHash; // identifies the target in messages between nodes
     std::vector<std::string> name; // without the incarnation
     std::vector<std::string> service;
--- a/libs/serving/src/engine_pace.cpp
+++ b/libs/serving/src/engine_pace.cpp
@@ -69,12 +69,12 @@
 
 }
 
-double prefillWork(std::int64_t kept, std::int64_t total)
+double prefillWork(std::int64_t cachedTokens, std::int64_t totalTokens)
 {
-    const auto before = static_cast<double>(std::min(kept, total));
-    const double recordPrefill = static_cast<double>(total) - before;
-    const double pairs = recordPrefill * (before + recordPrefill / 2);
-    return recordPrefill + workPerTokenPair * pairs;
+    const auto before = static_cast<double>(std::min(cachedTokens, totalTokens));
+    const double prefilled = static_cast<double>(totalTokens) - before;
+    const double pairs = prefilled * (before + prefilled / 2);
+    return prefilled + workPerTokenPair * pairs;
 }
 
 double transferSeconds(const service_profile& service, std::int64_t tokens, bool isSameZone)
--- a/libs/serving/src/stream_pauses.cpp
+++ b/libs/serving/src/stream_pauses.cpp
@@ -21,22 +21,22 @@
 
 double stream_pauses::prefillBudgetSeconds(target_id engine, const service_profile& service, instant now) const
 {
-    constexpr double any = std::numeric_limits<double>::infinity();
+    constexpr double unlimited = std::numeric_limits<double>::infinity();
     if (!service.engine || service.tightestGapAim <= duration::zero())
-        return any;
+        return unlimited;
     const int steps = service.engine->tokensPerEvent;
-    const double spare = seconds(service.tightestGapAim) - steps * m_pace.stepSeconds(engine);
+    const double spareSeconds = seconds(service.tightestGapAim) - steps * m_pace.stepSeconds(engine);
     const double chunkSeconds = chunkTokens * m_pace.secondsPerToken(engine, now);
-    return steps * chunkSeconds <= spare ? any : spare;
+    return steps * chunkSeconds <= spareSeconds ? unlimited : spareSeconds;
 }
 
 double stream_pauses::excessSeconds(target_id engine, double work, const service_profile& service, instant now)
 {
-    const double most = prefillBudgetSeconds(engine, service, now);
-    if (most == std::numeric_limits<double>::infinity())
-        return -most;
-    const double known = m_queues.prefillSecondsSince(engine, now - service.tightestGapAim, now);
-    return known + m_queues.prefillSeconds(engine, work, now) - most;
+    const double budgetSeconds = prefillBudgetSeconds(engine, service, now);
+    if (budgetSeconds == std::numeric_limits<double>::infinity())
+        return -budgetSeconds;
+    const double scheduledSeconds = m_queues.prefillSecondsSince(engine, now - service.tightestGapAim, now);
+    return scheduledSeconds + m_queues.prefillSeconds(engine, work, now) - budgetSeconds;
 }
 
 }
--- a/libs/serving/tests/model/engine_model.cpp
+++ b/libs/serving/tests/model/engine_model.cpp
@@ -47,7 +47,7 @@
     return m_linkFreeAt + fromSeconds(m_profile.transferSetupMilliseconds * millisecond);
 }
 
-void engine_model::ask(const engine_job& job, std::vector<engine_model>& all, instant now)
+void engine_model::submit(const engine_job& job, std::vector<engine_model>& all, instant now)
 {
     held_job item;
     item.job = job;
@@ -158,7 +158,7 @@
     }
 }
 
-double engine_model::read(held_job& item, double budget)
+double engine_model::prefill(held_job& item, double budget)
 {
     const double tokens = std::min(budget, static_cast<double>(item.tokensToPrefill));
     const double before = static_cast<double>(item.job.text.inputTokens - item.tokensToPrefill);
@@ -212,14 +212,14 @@
     double budget = m_alsoDecodes ? m_profile.chunkTokens / decodingChunkDivisor : m_profile.chunkTokens;
     for (auto& item : m_running) {
         if (item.tokensToPrefill > 0 && budget > 0)
-            budget = read(item, budget);
+            budget = prefill(item, budget);
     }
     while (budget > 0) {
         held_job* item = admit(now);
         if (!item)
             break;
         if (item->tokensToPrefill > 0)
-            budget = read(*item, budget);
+            budget = prefill(*item, budget);
     }
     double context = 0;
     int decoding = 0;
--- a/libs/serving/tests/model/engine_model.h
+++ b/libs/serving/tests/model/engine_model.h
@@ -64,7 +64,7 @@
     engine_model(engine_parameters profile, bool alsoDecodes, engine_events events);
 
     /// Submits a job. `all` are the engines by index, for transfers.
-    void ask(const engine_job& job, std::vector<engine_model>& all, instant now);
+    void submit(const engine_job& job, std::vector<engine_model>& all, instant now);
     void cancel(std::uint64_t key);
     /// Discards all jobs and the cache.
     void crash();
@@ -108,7 +108,7 @@
     instant transfer(std::int64_t tokens, instant now);
     void startStep(instant now);
     void endStep(instant now);
-    double read(held_job& item, double budget);
+    double prefill(held_job& item, double budget);
     held_job* admit(instant now);
     /// Reports the parts to prefill: those that are not cached, or that follow one that is not.
     void reportPrefilledParts(const prompt& text);
--- a/libs/serving/tests/model/fleet_model.cpp
+++ b/libs/serving/tests/model/fleet_model.cpp
@@ -30,7 +30,7 @@
     constexpr int silenceTimeoutInAims = 4;
     constexpr int silenceTimeoutInGapAims = 8;
     constexpr int maxTries = 2; ///< of a caller; the second one after a refusal with a retry time
-    constexpr int maxRetryDelayDivisor = 3; ///< a caller waits at most this fraction of its time left before it retries
+    constexpr int maxRetryDelayDivisor = 3; ///< a caller retries within this fraction of its time left
     constexpr duration roleCheckInterval = 250ms; ///< as in the gateway
     constexpr duration startupTime = 6s;
 
@@ -458,7 +458,7 @@
     const bool isWrongRole = engine.alsoDecodes() == (job.stage == attempt_stage::prefill);
     if (isFull || isWrongRole || engine.isChanging())
         return endAttempt(key, attempt_result::rejected, {});
-    engine.ask(job, m_engines, m_now);
+    engine.submit(job, m_engines, m_now);
     scheduleStep(sent->second.engine);
 }
 
