--- a/libs/gateway/src/flow_table.cpp
+++ b/libs/gateway/src/flow_table.cpp
@@ -27,7 +27,7 @@
     out.configuration = routed.configuration;
     out.route = routed.route;
     out.service = serving::chooseService(*routed.route, routed.decoded.id);
-    out.patience = routed.decoded.timeLeft.value_or(defaultTimeLeft);
+    out.callerTimeout = routed.decoded.timeLeft.value_or(defaultTimeLeft);
     out.text = routed.decoded.text;
     return out;
 }
--- a/libs/serving/tests/model/engine_model.cpp
+++ b/libs/serving/tests/model/engine_model.cpp
@@ -47,7 +47,7 @@
     return m_linkFreeAt + fromSeconds(m_profile.transferSetupMilliseconds * millisecond);
 }
 
-void engine_model::ask(const engine_job& job, std::vector<engine_model>& all, instant now)
+void engine_model::submit(const engine_job& job, std::vector<engine_model>& all, instant now)
 {
     held_job item;
     item.job = job;
@@ -158,7 +158,7 @@
     }
 }
 
-double engine_model::read(held_job& item, double budget)
+double engine_model::prefill(held_job& item, double budget)
 {
     const double tokens = std::min(budget, static_cast<double>(item.tokensToPrefill));
     const double before = static_cast<double>(item.job.text.inputTokens - item.tokensToPrefill);
@@ -212,14 +212,14 @@
     double budget = m_alsoDecodes ? m_profile.chunkTokens / decodingChunkDivisor : m_profile.chunkTokens;
     for (auto& item : m_running) {
         if (item.tokensToPrefill > 0 && budget > 0)
-            budget = read(item, budget);
+            budget = prefill(item, budget);
     }
     while (budget > 0) {
         held_job* item = admit(now);
         if (!item)
             break;
         if (item->tokensToPrefill > 0)
-            budget = read(*item, budget);
+            budget = prefill(*item, budget);
     }
     double context = 0;
     int decoding = 0;
@@ -249,9 +249,10 @@
         if (item.decodesFrom) {
             if (*item.decodesFrom < stepEnd)
                 decodeToken(item);
-            if (*item.decodesFrom < stepEnd && item.written % m_profile.tokensPerEvent == 1 % m_profile.tokensPerEvent)
+            if (*item.decodesFrom < stepEnd
+                && item.decodedTokens % m_profile.tokensPerEvent == 1 % m_profile.tokensPerEvent)
                 events.push_back(item.job.key); // the first token is an event by itself
-            if (item.written >= item.job.outputTokens)
+            if (item.decodedTokens >= item.job.outputTokens)
                 ended.push_back(item.job.key);
         } else if (item.tokensToPrefill == 0) {
             finishPrefill(item, now);
@@ -274,7 +275,7 @@
 
 void engine_model::decodeToken(held_job& item)
 {
-    ++item.written;
+    ++item.decodedTokens;
     ++item.context;
 }
 
@@ -311,7 +312,7 @@
 {
     std::int64_t inUse = 0;
     for (const auto& item : m_running)
-        inUse += item.written; // the prompts themselves are among the parts
+        inUse += item.decodedTokens; // the prompts themselves are among the parts
     while (m_partTokens + inUse > m_profile.memoryTokens && !m_order.empty()) {
         const auto oldest = m_order.front();
         m_order.pop_front();
--- a/libs/serving/tests/model/fleet_model.cpp
+++ b/libs/serving/tests/model/fleet_model.cpp
@@ -30,7 +30,7 @@
     constexpr int silenceTimeoutInAims = 4;
     constexpr int silenceTimeoutInGapAims = 8;
     constexpr int maxTries = 2; ///< of a caller; the second one after a refusal with a retry time
-    constexpr int maxRetryDelayDivisor = 3; ///< a caller waits at most this fraction of its time left before it retries
+    constexpr int maxRetryDelayDivisor = 3; ///< a caller retries within this fraction of its time left
     constexpr duration roleCheckInterval = 250ms; ///< as in the gateway
     constexpr duration startupTime = 6s;
 
@@ -72,7 +72,7 @@
         route.carriesPrompt = true;
         route.maxAttempts = kind.isRepeatable ? 2 : 1;
         route.priority = kind.priority;
-        route.timeout = kind.patience;
+        route.timeout = kind.timeout;
         route.aim = kind.aim;
         route.gapAim = kind.gapAim;
         routes.push_back(std::move(route));
@@ -283,7 +283,7 @@
     request.configuration = m_configuration;
     request.route = &m_configuration->routes()[kind];
     request.service = "engines";
-    request.patience = m_profile.kinds[kind].patience - (m_now - asked.at);
+    request.callerTimeout = m_profile.kinds[kind].timeout - (m_now - asked.at);
     request.text = asked.generated.text;
     command_list out;
     const auto id = m_nodes[node].decisions->submit(std::move(request), m_now, out);
@@ -330,7 +330,7 @@
     }
     ++asked.tries;
     asked.currentKey = 0;
-    const auto left = m_profile.kinds[asked.generated.kind].patience - (m_now - asked.at);
+    const auto left = m_profile.kinds[asked.generated.kind].timeout - (m_now - asked.at);
     const auto node = m_inService[m_random.below(m_inService.size())];
     schedule(std::min(retryAfter, left / maxRetryDelayDivisor), [this, asked = std::move(asked), node] {
         // The node may have restarted meanwhile.
@@ -458,7 +458,7 @@
     const bool isWrongRole = engine.alsoDecodes() == (job.stage == attempt_stage::prefill);
     if (isFull || isWrongRole || engine.isChanging())
         return endAttempt(key, attempt_result::rejected, {});
-    engine.ask(job, m_engines, m_now);
+    engine.submit(job, m_engines, m_now);
     scheduleStep(sent->second.engine);
 }
 
