--- a/libs/decide/tests/test_replicated_state.cpp
+++ b/libs/decide/tests/test_replicated_state.cpp
@@ -146,7 +146,7 @@
 TEST_CASE("test_every_record_counts_at_most_once")
 {
     // Appends are repeated after lost answers, so duplicating any record of a log must not change the state.
-    CHECK(rc::check("duplicating a record changes nothing but offsets", [] {
+    CHECK(rc::check("doubling a record changes nothing but offsets", [] {
         const auto records = randomLog();
         const auto doubled = static_cast<std::size_t>(*rc::gen::inRange<int>(0, static_cast<int>(records.size())));
         replicated_state state;
