--- a/libs/gateway/src/cache_watch.cpp
+++ b/libs/gateway/src/cache_monitor.cpp
@@ -1,5 +1,5 @@
 // Implements the long polls, cache listings and peer snapshots of cache_monitor.
-#include "cache_watch.h"
+#include "cache_monitor.h"
 
 #include "base/hash.h"
 #include "serving/duty_assignment.h"
--- a/libs/gateway/src/gateway.cpp
+++ b/libs/gateway/src/gateway.cpp
@@ -1,11 +1,11 @@
 // Creates and connects the parts of a node, and runs its periodic work.
 #include "gateway/gateway.h"
 
-#include "cache_watch.h"
+#include "cache_monitor.h"
 #include "cluster_view.h"
 #include "flow_table.h"
 #include "node_endpoints.h"
-#include "peer_talk.h"
+#include "peer_messenger.h"
 #include "registration.h"
 #include "role_coordinator.h"
 #include "state_pull.h"
--- a/libs/gateway/src/peer_talk.cpp
+++ b/libs/gateway/src/peer_messenger.cpp
@@ -1,6 +1,6 @@
 // Implements the messages between nodes. Heartbeats carry the full picture; other messages carry what cannot wait for
 // the next heartbeat.
-#include "peer_talk.h"
+#include "peer_messenger.h"
 
 #include "base/hash.h"
 
--- a/libs/gateway/src/peer_talk.h
+++ b/libs/gateway/src/peer_messenger.h
@@ -1,7 +1,7 @@
 // Exchanges messages with peer nodes: heartbeats, announcements of prompts just sent, changes of the target list.
 #pragma once
 
-#include "cache_watch.h"
+#include "cache_monitor.h"
 #include "cluster_view.h"
 #include "peer_socket.h"
 #include "role_coordinator.h"
--- a/libs/gateway/tests/test_cache_watch.cpp
+++ b/libs/gateway/tests/test_cache_monitor.cpp
@@ -1,5 +1,5 @@
 // Tests how the contents of engines' caches are learned from events, listings and peers.
-#include "cache_watch.h"
+#include "cache_monitor.h"
 #include "fake_ports.h"
 
 #include "http/http_server.h"
