--- a/libs/node/include/node/node.h
+++ b/libs/node/include/node/node.h
@@ -1,4 +1,4 @@
-// One node: everything between callers and targets on one entry VM.
+// Provides the node program's top-level object, which accepts requests of callers on one VM and routes them to targets.
 #pragma once
 
 #include "settings/node_settings.h"
@@ -9,19 +9,20 @@
 
 namespace tamarack {
 
-/// Runs on the event loop of the thread that made it.
+/// A node of the serving system. Runs on the event loop of the thread that constructs it.
 class node {
 public:
-    /// `incarnation` must rise with every start of a process on this VM. `onStopped` is called once a planned stop is
-    /// done.
+    /// `incarnation` must increase with every process start on this VM. `onStopped` is called once, when a drain that
+    /// was begun with drain() has finished.
     node(node_settings settings, std::uint64_t incarnation, std::function<void()> onStopped);
     ~node();
     node(const node&) = delete;
     node& operator=(const node&) = delete;
 
-    /// What could not be started, or nothing.
+    /// Opens the ports and starts the timers. Returns an error message, or an empty string on success.
     std::string start();
-    /// Begins a planned stop: leaves /v1/entries, goes on accepting while callers may hold the address, finishes.
+    /// Begins a planned stop: the node is removed from /v1/entries, accepts requests as long as callers may have its
+    /// address cached, and then completes the requests in flight.
     void drain();
 
 private:
--- a/libs/node/src/admin_api.cpp
+++ b/libs/node/src/admin_api.cpp
@@ -1,4 +1,4 @@
-// Status as JSON; docs/OPERATIONS.md describes its fields.
+// Implements the administration interface; docs/OPERATIONS.md describes the fields of the JSON status.
 #include "admin_api.h"
 
 #include <QHostAddress>
@@ -24,10 +24,10 @@
             { "ready", node.isReady }, { "stopping", node.isStopping } };
     }
 
-    ordered_json ordersJson(const replicated_state& agreed)
+    ordered_json ordersJson(const replicated_state& state)
     {
         auto list = ordered_json::array();
-        for (const auto& [target, orders] : agreed.data().orders) {
+        for (const auto& [target, orders] : state.data().orders) {
             if (!orders.isOpen)
                 continue;
             list.push_back({ { "target", target }, { "order", orders.last.value },
--- a/libs/node/src/admin_api.h
+++ b/libs/node/src/admin_api.h
@@ -1,4 +1,5 @@
-// The operators' interface: health, status, metrics, drain. Answers at once, so Qt's HTTP server carries it.
+// Provides the HTTP interface for operators: health, status, metrics and drain. All responses are short and immediate,
+// so Qt's HTTP server is sufficient for it.
 #pragma once
 
 #include "control_plane.h"
@@ -11,12 +12,13 @@
 
 namespace tamarack {
 
+/// Serves the administration port of a node. The referenced objects must outlive it.
 class admin_api {
 public:
     admin_api(const node_settings& settings, const control_plane& control, const traffic_system& traffic,
         const metrics& counters, std::function<void()> onDrain);
 
-    /// False if the port is taken.
+    /// Returns false if the port cannot be opened.
     bool listen();
 
 private:
--- a/libs/node/src/caller_api.cpp
+++ b/libs/node/src/caller_api.cpp
@@ -1,4 +1,4 @@
-// The callers' interface; docs/API.md describes it.
+// Implements the HTTP interface for callers, which docs/API.md describes.
 #include "caller_api.h"
 
 #include "problem_answer.h"
@@ -15,20 +15,20 @@
 namespace {
 
     constexpr std::string_view servicePrefix = "/services/";
-    constexpr std::size_t entriesForAccount = 3;
-    constexpr std::size_t mostEntries = 16;
-    constexpr double longestDeadline = 3600;
-    constexpr int highestDepth = 64;
+    constexpr std::size_t entriesPerAccount = 3;
+    constexpr std::size_t maxEntries = 16;
+    constexpr double maxDeadlineSeconds = 3600;
+    constexpr int maxDepth = 64;
 
-    /// Headers that belong to one connection, or that this node sets itself.
-    constexpr std::array<std::string_view, 18> ownHeaders { "connection", "keep-alive", "transfer-encoding", "te",
+    /// Headers that apply to a single connection or that this node sets itself; they are not forwarded to targets.
+    constexpr std::array<std::string_view, 18> reservedHeaders { "connection", "keep-alive", "transfer-encoding", "te",
         "trailer", "upgrade", "expect", "host", "content-length", "proxy-connection", "tamarack-home",
         "tamarack-deadline", "x-attempt-id", "x-stage", "x-priority", "x-resume-offset", "x-kv", "x-kv-source" };
 
     bool isForwarded(std::string_view name)
     {
-        return std::none_of(
-            ownHeaders.begin(), ownHeaders.end(), [&](auto own) { return equalsIgnoreCase(own, name); });
+        return std::none_of(reservedHeaders.begin(), reservedHeaders.end(),
+            [&](auto reserved) { return equalsIgnoreCase(reserved, name); });
     }
 
     std::string queryValue(const std::string& target, std::string_view name)
@@ -52,13 +52,13 @@
     {
         double value = 0;
         const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-        const bool isWhole = error == std::errc() && end == text.data() + text.size();
-        if (!isWhole || !(value > 0) || value > longestDeadline)
+        const bool isFullyParsed = error == std::errc() && end == text.data() + text.size();
+        if (!isFullyParsed || !(value > 0) || value > maxDeadlineSeconds)
             return std::nullopt;
         return value;
     }
 
-    // RFC 9218: urgency 0 is the most urgent, 3 the default.
+    // In RFC 9218, urgency 0 is the highest and 3 is the default.
     bool isUrgentPriority(std::string_view header) { return header.starts_with("u=0") || header.starts_with("u=1"); }
 
 }
@@ -127,11 +127,12 @@
         self.availabilityZone = m_settings.availabilityZone;
         usable.push_back(self);
     }
-    // An account's limit is kept by few nodes, so that the limit means something with hundreds of nodes.
+    // Each node enforces an account's limit on its own. Directing an account to few nodes keeps the total close to the
+    // limit even with hundreds of nodes.
     std::sort(usable.begin(), usable.end(), [&](const peer_state& a, const peer_state& b) {
         return rendezvousWeight(account, a.instance.node) > rendezvousWeight(account, b.instance.node);
     });
-    usable.resize(std::min(usable.size(), account.empty() ? mostEntries : entriesForAccount));
+    usable.resize(std::min(usable.size(), account.empty() ? maxEntries : entriesPerAccount));
     nlohmann::ordered_json body;
     body["entries"] = nlohmann::ordered_json::array();
     for (const auto& peer : usable) {
@@ -149,7 +150,7 @@
     caller->sendWhole(answer);
 }
 
-bool caller_api::readHeaders(
+bool caller_api::parseHeaders(
     const http_request& request, const service_entry& service, relay_input& input, const caller_ptr& caller)
 {
     const auto& headers = request.headers;
@@ -163,7 +164,7 @@
     }
     if (headers.has("tamarack-depth")) {
         const auto depth = parseNumber(headers.find("tamarack-depth"));
-        if (!depth || *depth > highestDepth) {
+        if (!depth || *depth > maxDepth) {
             refuse(caller, error_kind::bad_request, "Tamarack-Depth must be a whole number up to 64");
             return false;
         }
@@ -195,28 +196,28 @@
 void caller_api::completion(http_request request, bool isChat, const caller_ptr& caller)
 {
     constexpr std::int64_t prefixTokens = 500;
-    const auto read = readCompletion(request.body, isChat, prefixTokens);
-    if (const auto* error = std::get_if<completion_error>(&read)) {
+    const auto parseResult = parseCompletion(request.body, isChat, prefixTokens);
+    if (const auto* error = std::get_if<completion_error>(&parseResult)) {
         const auto detail = error->field.empty() ? error->message : error->field + ": " + error->message;
         return refuse(caller, error_kind::bad_request, detail);
     }
-    const auto& wanted = std::get<completion_request>(read);
-    const int index = m_traffic.config().modelIndex(wanted.model);
+    const auto& parsed = std::get<completion_request>(parseResult);
+    const int index = m_traffic.config().modelIndex(parsed.model);
     if (index < 0)
-        return refuse(caller, error_kind::unknown_service, "model: no service serves " + wanted.model);
+        return refuse(caller, error_kind::unknown_service, "model: no service serves " + parsed.model);
     const auto& service = m_traffic.config().services[static_cast<std::size_t>(index)];
     relay_input input;
-    if (!readHeaders(request, service, input, caller))
+    if (!parseHeaders(request, service, input, caller))
         return;
     input.name = "completion " + service.name;
     input.isEngine = true;
-    input.isStream = wanted.isStream;
+    input.isStream = parsed.isStream;
     input.shape.service = { static_cast<std::uint32_t>(index) };
-    input.shape.promptTokens = wanted.promptTokens;
-    input.shape.outputTokens = wanted.maxTokens;
-    input.shape.prefixHash = wanted.prefixHash;
-    if (!wanted.user.empty())
-        input.shape.account = stableHash(wanted.user, input.shape.account);
+    input.shape.promptTokens = parsed.promptTokens;
+    input.shape.outputTokens = parsed.maxTokens;
+    input.shape.prefixHash = parsed.prefixHash;
+    if (!parsed.user.empty())
+        input.shape.account = stableHash(parsed.user, input.shape.account);
     input.toTarget.target = request.target;
     input.toTarget.body = std::move(request.body);
     m_submit(std::move(input), caller, nullptr);
@@ -241,7 +242,7 @@
         return refuse(caller, error_kind::unknown_service, "no plain service is named " + name);
     const auto& service = m_traffic.config().services[static_cast<std::size_t>(index)];
     relay_input input;
-    if (!readHeaders(request, service, input, caller))
+    if (!parseHeaders(request, service, input, caller))
         return;
     input.name = "call " + service.name;
     input.shape.service = { static_cast<std::uint32_t>(index) };
@@ -253,7 +254,7 @@
     input.shape.isIdempotent = !isNonIdempotent(service, request.method, path);
     if (input.shape.isIdempotent)
         return m_submit(std::move(input), caller, nullptr);
-    // The service is named in the key too, so that two services may use the same key.
+    // The key is prefixed with the service name, so that the same key can be used for two services.
     const auto header = std::string(request.headers.find("idempotency-key"));
     const auto key = header.empty() ? std::string() : service.name + "/" + header;
     const auto home = std::string(request.headers.find("tamarack-home"));
@@ -261,17 +262,19 @@
         [this, key, caller, name, input = std::move(input)] { submitKeyed(key, name, input, caller); });
 }
 
-// The home's answer may come after a change of configuration, in which the service has another row, or none.
+// The home node may respond after a configuration change that moved the service to another index or removed it, so the
+// index is looked up again.
 void caller_api::submitKeyed(
     const std::string& key, const std::string& service, relay_input input, const caller_ptr& caller)
 {
     const int index = m_traffic.config().serviceIndex(service);
     if (index < 0) {
         refuse(caller, error_kind::unknown_service, "no plain service is named " + service);
-        return m_keys.finished(key, { nullptr, error_kind::unknown_service });
+        return m_keys.onRequestFinished(key, { nullptr, error_kind::unknown_service });
     }
     input.shape.service = { static_cast<std::uint32_t>(index) };
-    m_submit(std::move(input), caller, [this, key](const relay::outcome& outcome) { m_keys.finished(key, outcome); });
+    m_submit(std::move(input), caller,
+        [this, key](const relay::outcome& outcome) { m_keys.onRequestFinished(key, outcome); });
 }
 
 }
--- a/libs/node/src/completion_request.cpp
+++ b/libs/node/src/completion_request.cpp
@@ -1,4 +1,4 @@
-// Completion bodies.
+// Implements the parsing and validation of completion request bodies.
 #include "completion_request.h"
 
 #include "base/hash.h"
@@ -12,11 +12,11 @@
 
     using nlohmann::json;
 
-    constexpr std::int64_t bytesPerToken = 4; // usual for text; only an estimate of work
+    constexpr std::int64_t bytesPerToken = 4; // typical of text; used only to estimate work
     constexpr std::int64_t defaultMaxTokens = 256;
-    constexpr std::int64_t highestMaxTokens = 1'000'000;
+    constexpr std::int64_t maxTokensLimit = 1'000'000;
 
-    std::variant<std::string, completion_error> promptOf(const json& root, bool isChat)
+    std::variant<std::string, completion_error> extractPrompt(const json& root, bool isChat)
     {
         if (!isChat) {
             if (!root.contains("prompt") || !root["prompt"].is_string())
@@ -39,7 +39,7 @@
 
 }
 
-std::variant<completion_request, completion_error> readCompletion(
+std::variant<completion_request, completion_error> parseCompletion(
     const std::string& body, bool isChat, std::int64_t prefixTokens)
 {
     const json root = json::parse(body, nullptr, false);
@@ -47,34 +47,34 @@
         return completion_error { "", "the body is not valid JSON" };
     if (!root.is_object())
         return completion_error { "", "the body must be a JSON object" };
-    completion_request read;
+    completion_request request;
     if (!root.contains("model") || !root["model"].is_string())
         return completion_error { "model", "must be a string" };
-    read.model = root["model"];
-    read.maxTokens = defaultMaxTokens;
+    request.model = root["model"];
+    request.maxTokens = defaultMaxTokens;
     if (root.contains("max_tokens")) {
         const auto& value = root["max_tokens"];
-        if (!value.is_number_integer() || value.get<double>() < 1 || value.get<double>() > highestMaxTokens)
+        if (!value.is_number_integer() || value.get<double>() < 1 || value.get<double>() > maxTokensLimit)
             return completion_error { "max_tokens", "must be a whole number from 1 to 1000000" };
-        read.maxTokens = value;
+        request.maxTokens = value;
     }
     if (root.contains("stream")) {
         if (!root["stream"].is_boolean())
             return completion_error { "stream", "must be true or false" };
-        read.isStream = root["stream"];
+        request.isStream = root["stream"];
     }
     if (root.contains("user") && root["user"].is_string())
-        read.user = root["user"];
-    const auto prompt = promptOf(root, isChat);
+        request.user = root["user"];
+    const auto prompt = extractPrompt(root, isChat);
     if (const auto* error = std::get_if<completion_error>(&prompt))
         return *error;
     const auto& text = std::get<std::string>(prompt);
-    read.promptTokens = static_cast<std::int64_t>(text.size()) / bytesPerToken + 1;
-    // A prompt shorter than one piece has no prefix worth steering by.
+    request.promptTokens = static_cast<std::int64_t>(text.size()) / bytesPerToken + 1;
+    // A prompt shorter than the prefix length gains too little from a cached prefix to be routed by it.
     const auto prefixBytes = static_cast<std::size_t>(prefixTokens * bytesPerToken);
     if (text.size() >= prefixBytes)
-        read.prefixHash = stableHash(std::string_view(text).substr(0, prefixBytes));
-    return read;
+        request.prefixHash = stableHash(std::string_view(text).substr(0, prefixBytes));
+    return request;
 }
 
 }
--- a/libs/node/src/control_plane.cpp
+++ b/libs/node/src/control_plane.cpp
@@ -1,4 +1,4 @@
-// Timers, sockets and clients around the control decisions.
+// Implements the timers, sockets and clients that drive the control decisions of libs/decide.
 #include "control_plane.h"
 
 #include "base/hash.h"
@@ -12,14 +12,14 @@
 
     constexpr duration platformTimeout = 2s;
     constexpr duration statusTimeout = 1s;
-    constexpr duration pullTimeout = 2s;
+    constexpr duration statePullTimeout = 2s;
     constexpr duration tickInterval = 50ms;
     constexpr std::size_t loadsPerHeartbeat = 48;
-    constexpr std::size_t digestPerHeartbeat = 6;
-    constexpr int silencesUntilBlocked = 2;
-    constexpr duration silentTargetBlock = 1s;
-    constexpr duration demandLife = 10s;
-    constexpr double shareSteps = 255; // a share in one byte
+    constexpr std::size_t digestEntriesPerHeartbeat = 6;
+    constexpr int missedPollsUntilBlocked = 2;
+    constexpr duration unresponsiveTargetBlock = 1s;
+    constexpr duration demandTimeToLive = 10s;
+    constexpr double shareScale = 255; // a share from 0 to 1 is encoded in one byte
 
     int milliseconds(duration d)
     {
@@ -50,7 +50,7 @@
     , m_onConfiguration(std::move(onConfiguration))
     , m_control(
           { instance, settings.region, settings.availabilityZone }, controlSettingsFrom(settings), boot_clock::now())
-    , m_loads(settings.vm, settings.availabilityZone, traffic.targets())
+    , m_loadExchange(settings.vm, settings.availabilityZone, traffic.targets())
     , m_peers({ [this](const heartbeat& message) { onHeartbeat(message); },
           [this](const peer_request& request, peer_transport::reply_sender reply) {
               onRequest(request, std::move(reply));
@@ -60,13 +60,13 @@
     , m_poller(
           client, statusTimeout,
           [this](const std::string& target, const target_status& status) { onStatus(target, status); },
-          [this](const std::string& target) { onSilence(target); })
+          [this](const std::string& target) { onNoStatus(target); })
     , m_deliverer(
           client, log, [this](log_offset order, delivery_result result) { m_control.onDeliveryResult(order, result); })
 {
     QObject::connect(&m_logTimer, &QTimer::timeout, [this] { readLog(); });
     QObject::connect(&m_vmTimer, &QTimer::timeout, [this] { readVmList(); });
-    QObject::connect(&m_beatTimer, &QTimer::timeout, [this] { beat(); });
+    QObject::connect(&m_heartbeatTimer, &QTimer::timeout, [this] { sendHeartbeat(); });
     QObject::connect(&m_pollTimer, &QTimer::timeout, [this] { pollTargets(); });
     QObject::connect(&m_tickTimer, &QTimer::timeout, [this] { tick(); });
 }
@@ -78,7 +78,7 @@
         return false;
     m_logTimer.start(milliseconds(m_settings.logPollInterval));
     m_vmTimer.start(milliseconds(m_settings.vmListPollInterval));
-    m_beatTimer.start(milliseconds(m_settings.heartbeatInterval));
+    m_heartbeatTimer.start(milliseconds(m_settings.heartbeatInterval));
     m_pollTimer.start(milliseconds(m_settings.targetPollInterval));
     m_tickTimer.start(milliseconds(tickInterval));
     readVmList();
@@ -94,11 +94,11 @@
 
 void control_plane::readLog()
 {
-    if (m_isReading)
+    if (m_isReadingLog)
         return;
-    m_isReading = true;
+    m_isReadingLog = true;
     m_logClient.read(m_control.follower().readFrom().value, [this](std::optional<log_page> page) {
-        m_isReading = false;
+        m_isReadingLog = false;
         if (!page) {
             m_counters.count("tamarack_log_read_failures_total");
             return;
@@ -113,11 +113,11 @@
 
 void control_plane::readVmList()
 {
-    if (m_isListing)
+    if (m_isReadingVmList)
         return;
-    m_isListing = true;
+    m_isReadingVmList = true;
     m_vmList.read([this](std::optional<std::vector<listed_vm>> vms) {
-        m_isListing = false;
+        m_isReadingVmList = false;
         if (!vms) {
             m_counters.count("tamarack_vm_list_failures_total");
             return;
@@ -128,7 +128,7 @@
             if (vm.kind == "target")
                 m_listedLeaving[vm.name] = vm.isLeaving;
         }
-        markTargets(boot_clock::now());
+        updateTargetFlags(boot_clock::now());
     });
 }
 
@@ -156,26 +156,26 @@
 {
     std::vector<digest_entry> out;
     const auto alive = m_control.members().alive(now);
-    for (std::size_t i = 0; i < std::min(alive.size(), digestPerHeartbeat); ++i) {
-        const auto* peer = alive[m_digestTurn++ % alive.size()];
+    for (std::size_t i = 0; i < std::min(alive.size(), digestEntriesPerHeartbeat); ++i) {
+        const auto* peer = alive[m_nextDigestIndex++ % alive.size()];
         out.push_back({ peer->instance.node, peer->address, static_cast<std::uint16_t>(peer->peerPort),
             peer->instance.incarnation, peer->configurationVersion });
     }
     return out;
 }
 
-void control_plane::beat()
+void control_plane::sendHeartbeat()
 {
     const auto now = boot_clock::now();
     heartbeat message;
     message.sender = selfState();
-    message.loads = m_loads.entries(loadsPerHeartbeat, now);
+    message.loads = m_loadExchange.entries(loadsPerHeartbeat, now);
     message.digest = digest(now);
     const auto& services = m_traffic.config().services;
     for (std::uint32_t s = 0; s < services.size(); ++s) {
         const auto demand = m_traffic.demand({ s }, now);
         message.demands.push_back({ shortHash(services[s].name), static_cast<float>(demand.promptTokens),
-            static_cast<float>(demand.outputTokens), static_cast<std::uint8_t>(demand.refusedShare * shareSteps) });
+            static_cast<float>(demand.outputTokens), static_cast<std::uint8_t>(demand.refusedShare * shareScale) });
     }
     for (const auto& peer : m_control.members().heartbeatRecipients(now))
         m_peers.send(peer.address, peer.peerPort, message);
@@ -186,7 +186,7 @@
 {
     const auto now = boot_clock::now();
     m_control.onPeerHeartbeat(message.sender, now);
-    m_loads.take(message.loads, now);
+    m_loadExchange.applyEntries(message.loads, now);
     m_peerDemand[message.sender.instance.node] = { now, message.demands };
     for (const auto& entry : message.digest)
         m_control.onPeerIncarnation({ entry.vm, entry.incarnation }, now);
@@ -199,13 +199,13 @@
 
 void control_plane::pullStateFrom(const peer_state& peer)
 {
-    if (m_isPulling)
+    if (m_isPullingState)
         return;
-    m_isPulling = true;
+    m_isPullingState = true;
     m_counters.count("tamarack_state_pulls_total");
     const peer_request request { peer_question::agreed_state, m_instance, {}, {} };
-    m_peers.ask(peer.address, peer.peerPort, request, pullTimeout, [this](std::optional<peer_reply> reply) {
-        m_isPulling = false;
+    m_peers.ask(peer.address, peer.peerPort, request, statePullTimeout, [this](std::optional<peer_reply> reply) {
+        m_isPullingState = false;
         if (!reply || !reply->isKnown)
             return;
         const auto record = decodeRecord({ 0 }, reply->agreedState);
@@ -234,11 +234,11 @@
     const auto now = boot_clock::now();
     const auto& targets = m_traffic.targets();
     std::set<std::uint32_t> rows;
-    for (const auto id : m_loads.watched(m_control.members().alive(now)))
+    for (const auto id : m_loadExchange.targetsToPoll(m_control.members().alive(now)))
         rows.insert(id.value);
     const auto& services = m_traffic.config().services;
     for (std::uint32_t row = 0; row < targets.size(); ++row) {
-        // A lease's holder needs the targets' own words, not what a peer passed on.
+        // The holder of a service's lease needs status from the targets themselves, not reports forwarded by peers.
         if (targets.service[row] >= 0
             && m_control.holdsLease(services[static_cast<std::size_t>(targets.service[row])].name, now))
             rows.insert(row);
@@ -251,17 +251,17 @@
 {
     auto& targets = m_traffic.targets();
     const target_id id = targets.find(name);
-    m_silences[name] = 0;
+    m_missedPolls[name] = 0;
     m_control.onTargetView(name, status.view);
     if (!id.isValid())
         return;
     if (status.hasLoad)
         targets.report(id, status.load);
     const auto row = id.value;
-    const bool wasAway = targets.isChanging[row] || targets.incarnation[row] != status.view.incarnation;
+    const bool wasUnavailable = targets.isChanging[row] || targets.incarnation[row] != status.view.incarnation;
     targets.isChanging[row] = status.view.isChanging;
     targets.isLeaving[row] = status.isLeaving || m_listedLeaving[name];
-    if (wasAway && !status.view.isChanging)
+    if (wasUnavailable && !status.view.isChanging)
         targets.slowStartUntil[row] = boot_clock::now() + 2s;
     targets.incarnation[row] = status.view.incarnation;
     const auto role = status.view.settings.find(order_kind::role);
@@ -270,22 +270,23 @@
         targets.role[row] = parseRole(role->second, isRole);
 }
 
-void control_plane::onSilence(const std::string& name)
+void control_plane::onNoStatus(const std::string& name)
 {
-    if (++m_silences[name] < silencesUntilBlocked)
+    if (++m_missedPolls[name] < missedPollsUntilBlocked)
         return;
     auto& targets = m_traffic.targets();
     const target_id id = targets.find(name);
     const auto now = boot_clock::now();
     if (id.isValid())
-        targets.blockedUntil[id.value] = std::max(targets.blockedUntil[id.value], now + silentTargetBlock);
+        targets.blockedUntil[id.value] = std::max(targets.blockedUntil[id.value], now + unresponsiveTargetBlock);
 }
 
-void control_plane::markTargets(instant)
+void control_plane::updateTargetFlags(instant)
 {
     auto& targets = m_traffic.targets();
     for (std::uint32_t row = 0; row < targets.size(); ++row) {
-        // An open order in the log means "about to change": every node stops giving it work, so that it can drain.
+        // An open order in the log means that the target is about to change. All nodes then stop sending it requests,
+        // so that it can drain.
         targets.isDraining[row] = m_control.replicated().orders(targets.name[row]).isOpen;
         const auto listed = m_listedLeaving.find(targets.name[row]);
         if (listed != m_listedLeaving.end() && listed->second)
@@ -293,14 +294,14 @@
     }
 }
 
-void control_plane::sumDemand(instant now)
+void control_plane::aggregateDemand(instant now)
 {
     const auto& services = m_traffic.config().services;
     for (std::uint32_t s = 0; s < services.size(); ++s) {
         if (!services[s].isEngine())
             continue;
         const auto& service = services[s];
-        const auto engines = [&](double promptTokens, double outputTokens) {
+        const auto toEngineDemand = [&](double promptTokens, double outputTokens) {
             return role_demand { promptTokens / service.prefillTokensPerSecond,
                 outputTokens / service.decodeTokensPerSecond, 0 };
         };
@@ -311,13 +312,13 @@
             total.refusedEngines += refusedShare * (part.prefillEngines + part.decodeEngines);
         };
         const auto own = m_traffic.demand({ s }, now);
-        add(engines(own.promptTokens, own.outputTokens), own.refusedShare);
+        add(toEngineDemand(own.promptTokens, own.outputTokens), own.refusedShare);
         for (const auto& [vm, demand] : m_peerDemand) {
-            if (now >= demand.at + demandLife)
+            if (now >= demand.receivedAt + demandTimeToLive)
                 continue;
             for (const auto& entry : demand.entries) {
                 if (entry.serviceHash == shortHash(service.name))
-                    add(engines(entry.promptTokens, entry.outputTokens), entry.refusedShare / shareSteps);
+                    add(toEngineDemand(entry.promptTokens, entry.outputTokens), entry.refusedShare / shareScale);
             }
         }
         m_control.onServiceDemand(service.name, total);
@@ -332,7 +333,7 @@
     m_logClient.append(encodeRecord({ m_instance, sequence }, body), [this](std::optional<std::int64_t> offset) {
         if (!offset)
             m_counters.count("tamarack_log_append_failures_total");
-        // What became of it is learned by reading it back, whatever the answer said.
+        // The response does not decide whether the record took effect; only reading it back from the log does.
         if (offset)
             readLog();
     });
@@ -341,10 +342,10 @@
 void control_plane::logLeaseChanges()
 {
     for (const auto& [name, lease] : m_control.replicated().data().leases) {
-        auto& told = m_toldLeases[name];
-        if (told.holder == lease.holder && told.term == lease.term)
+        auto& logged = m_loggedLeases[name];
+        if (logged.holder == lease.holder && logged.term == lease.term)
             continue;
-        told = lease;
+        logged = lease;
         m_log.write(log_event::lease_changed,
             { { "lease", name }, { "holder", toString(lease.holder) }, { "term", lease.term.value },
                 { "read_to", m_control.replicated().next().value } });
@@ -354,7 +355,7 @@
 void control_plane::tick()
 {
     const auto now = boot_clock::now();
-    sumDemand(now);
+    aggregateDemand(now);
     auto output = m_control.tick(now);
     if (output.configuration) {
         m_log.write(log_event::configuration_in_force,
@@ -362,7 +363,7 @@
         m_onConfiguration(output.configuration);
     }
     logLeaseChanges();
-    markTargets(now);
+    updateTargetFlags(now);
     for (const auto& body : output.appends)
         append(body);
     for (const auto& order : output.deliveries) {
@@ -381,26 +382,26 @@
     std::set<std::string> raised;
     for (const auto& item : m_control.alarms(now)) {
         raised.insert(item.name);
-        if (!m_raised.contains(item.name))
+        if (!m_raisedAlarms.contains(item.name))
             m_log.write(log_event::alarm_raised, { { "alarm", item.name }, { "detail", item.detail } });
         m_counters.set("tamarack_alarm", 1, { { "name", item.name } });
     }
-    for (const auto& name : m_raised) {
+    for (const auto& name : m_raisedAlarms) {
         if (raised.contains(name))
             continue;
         m_log.write(log_event::alarm_cleared, { { "alarm", name } });
         m_counters.set("tamarack_alarm", 0, { { "name", name } });
     }
-    m_raised = std::move(raised);
+    m_raisedAlarms = std::move(raised);
     m_counters.set("tamarack_configuration_version", static_cast<double>(m_control.servedVersion()));
     m_counters.set("tamarack_log_reach", static_cast<double>(m_control.replicated().next().value));
     m_counters.set("tamarack_ready", m_control.ready().acceptsWork(now) ? 1 : 0);
     m_counters.set("tamarack_requests_held", static_cast<double>(m_traffic.held()));
     m_counters.set("tamarack_requests_waiting", static_cast<double>(m_traffic.waiting()));
-    const auto& sent = m_peers.counts();
-    m_counters.set("tamarack_peer_bytes_sent", static_cast<double>(sent.bytesSent));
-    m_counters.set("tamarack_peer_bytes_received", static_cast<double>(sent.bytesReceived));
-    m_counters.set("tamarack_peer_undecodable", static_cast<double>(sent.undecodable));
+    const auto& peerCounts = m_peers.counts();
+    m_counters.set("tamarack_peer_bytes_sent", static_cast<double>(peerCounts.bytesSent));
+    m_counters.set("tamarack_peer_bytes_received", static_cast<double>(peerCounts.bytesReceived));
+    m_counters.set("tamarack_peer_undecodable", static_cast<double>(peerCounts.undecodable));
     m_counters.set("tamarack_log_undecodable", static_cast<double>(m_control.follower().undecodable()));
 }
 
--- a/libs/node/src/control_settings_from.h
+++ b/libs/node/src/control_settings_from.h
@@ -1,4 +1,4 @@
-// Derives the decisions' settings from a node's settings.
+// Provides the conversion of a node's settings to the settings of the control decisions.
 #pragma once
 
 #include "decide/control_system.h"
--- a/libs/node/src/idempotency_handler.cpp
+++ b/libs/node/src/idempotency_handler.cpp
@@ -1,4 +1,4 @@
-// At-most-once requests.
+// Implements the at-most-once execution of non-idempotent requests.
 #include "idempotency_handler.h"
 
 #include "problem_answer.h"
@@ -9,22 +9,22 @@
 
 namespace {
 
-    std::string pack(const http_response& answer)
+    std::string encodeAnswer(const http_response& answer)
     {
         std::string text = std::to_string(answer.status) + "\n";
         text += std::string(answer.headers.find("content-type")) + "\n";
         return text + answer.body;
     }
 
-    http_response unpack(const std::string& kept)
+    http_response decodeAnswer(const std::string& stored)
     {
-        const auto first = kept.find('\n');
-        const auto second = kept.find('\n', first + 1);
+        const auto first = stored.find('\n');
+        const auto second = stored.find('\n', first + 1);
         http_response answer;
-        answer.status = std::stoi(kept.substr(0, first));
-        answer.headers.set("Content-Type", kept.substr(first + 1, second - first - 1));
+        answer.status = std::stoi(stored.substr(0, first));
+        answer.headers.set("Content-Type", stored.substr(first + 1, second - first - 1));
         answer.headers.set("Tamarack-Replayed", "true");
-        answer.body = kept.substr(second + 1);
+        answer.body = stored.substr(second + 1);
         return answer;
     }
 
@@ -56,16 +56,16 @@
 {
     const auto home = parseKeyHome(homeText);
     if (key.empty() || !home) {
-        const nlohmann::json how { { "home", homeHeader() } };
+        const nlohmann::json homeMember { { "home", homeHeader() } };
         return refuse(caller, error_kind::home_required,
-            "send Idempotency-Key, and in Tamarack-Home the value that the node you first turned to gave you",
-            how.dump());
+            "send Idempotency-Key, and in Tamarack-Home the value returned by the node that you contacted first",
+            homeMember.dump());
     }
     if (home->instance == m_keys.self())
-        return follow(key, m_keys.onRequest(key, *home, boot_clock::now()), caller, run);
+        return applyDecision(key, m_keys.onRequest(key, *home, boot_clock::now()), caller, run);
     if (home->instance.node == m_keys.self().node) {
-        // An earlier life of this node was the home, and took what it knew with it.
-        return refuse(caller, error_kind::outcome_unknown, "the node that was first asked has restarted");
+        // The home was an earlier incarnation of this node, whose key records were lost when it ended.
+        return refuse(caller, error_kind::outcome_unknown, "the home node of this key has restarted");
     }
     askHome(key, *home, std::move(caller), std::move(run));
 }
@@ -74,77 +74,78 @@
     const std::string& key, const key_home& home, std::shared_ptr<response_writer> caller, std::function<void()> run)
 {
     const peer_state* peer = m_members.find(home.instance.node);
-    const bool isNewerLife = peer && peer->instance.incarnation > home.instance.incarnation;
-    if (!peer || peer->peerPort == 0 || isNewerLife)
-        return refuse(caller, error_kind::outcome_unknown, "the node that was first asked is gone");
+    const bool hasRestarted = peer && peer->instance.incarnation > home.instance.incarnation;
+    if (!peer || peer->peerPort == 0 || hasRestarted)
+        return refuse(caller, error_kind::outcome_unknown, "the home node of this key is gone");
     const peer_request request { peer_question::key, m_keys.self(), key, home };
     m_peers.ask(peer->address, peer->peerPort, request, m_timeout,
         [this, key, caller = std::move(caller), run = std::move(run)](std::optional<peer_reply> reply) {
             if (!reply || !reply->isKnown)
-                return refuse(caller, error_kind::outcome_unknown, "the node that was first asked does not answer");
+                return refuse(caller, error_kind::outcome_unknown, "the home node of this key does not answer");
             if (reply->key.decision == key_decision::run)
-                return follow(key, m_keys.onDelegated(key, boot_clock::now()), caller, run);
-            follow(key, reply->key, caller, run);
+                return applyDecision(key, m_keys.onDelegated(key, boot_clock::now()), caller, run);
+            applyDecision(key, reply->key, caller, run);
         });
 }
 
-void idempotency_handler::follow(const std::string& key, const key_answer& answer,
+void idempotency_handler::applyDecision(const std::string& key, const key_answer& answer,
     const std::shared_ptr<response_writer>& caller, const std::function<void()>& run)
 {
     switch (answer.decision) {
     case key_decision::run:
         return run();
     case key_decision::join:
-        m_joined[key].push_back(caller);
+        m_joinedCallers[key].push_back(caller);
         return;
     case key_decision::replay: {
         m_counters.count("tamarack_replayed_total");
-        http_response kept = unpack(answer.storedAnswer);
-        kept.headers.set("Tamarack-Home", homeHeader());
-        return caller->sendWhole(kept);
+        http_response stored = decodeAnswer(answer.storedAnswer);
+        stored.headers.set("Tamarack-Home", homeHeader());
+        return caller->sendWhole(stored);
     }
     case key_decision::moved: {
         const peer_state* peer = m_members.find(answer.movedTo.node);
-        nlohmann::json where { { "moved_to", toString(answer.movedTo) } };
+        nlohmann::json movedMembers { { "moved_to", toString(answer.movedTo) } };
         if (peer)
-            where["address"] = peer->address + ":" + std::to_string(peer->callerPort);
-        return refuse(caller, error_kind::key_moved, "this key was given to another node; ask there", where.dump());
+            movedMembers["address"] = peer->address + ":" + std::to_string(peer->callerPort);
+        return refuse(caller, error_kind::key_moved, "this key was delegated to another node; send the request there",
+            movedMembers.dump());
     }
     case key_decision::unknown:
         break;
     }
-    refuse(caller, error_kind::outcome_unknown, "whether this request has run can no longer be told");
+    refuse(caller, error_kind::outcome_unknown, "it can no longer be determined whether this request has run");
 }
 
-void idempotency_handler::finished(const std::string& key, const relay::outcome& outcome)
+void idempotency_handler::onRequestFinished(const std::string& key, const relay::outcome& outcome)
 {
     const auto now = boot_clock::now();
     const bool hasNotRun = !outcome.answer && answerFor(outcome.error).executed == ran::no;
     if (outcome.answer)
-        m_keys.onAnswer(key, pack(*outcome.answer), now);
+        m_keys.onAnswer(key, encodeAnswer(*outcome.answer), now);
     else if (hasNotRun)
         m_keys.onNotExecuted(key);
     else
         m_keys.onOutcomeUnknown(key, now);
 
-    auto joined = std::move(m_joined[key]);
-    m_joined.erase(key);
+    auto joined = std::move(m_joinedCallers[key]);
+    m_joinedCallers.erase(key);
     for (const auto& caller : joined) {
         if (outcome.answer)
-            caller->sendWhole(unpack(pack(*outcome.answer)));
+            caller->sendWhole(decodeAnswer(encodeAnswer(*outcome.answer)));
         else
             refuse(caller, outcome.error, answerFor(outcome.error).title);
     }
     auto peers = std::move(m_waitingPeers[key]);
     m_waitingPeers.erase(key);
     for (const auto& waiting : peers)
-        asked(waiting.request, waiting.reply);
+        onPeerRequest(waiting.request, waiting.reply);
 }
 
-void idempotency_handler::asked(const peer_request& request, peer_transport::reply_sender reply)
+void idempotency_handler::onPeerRequest(const peer_request& request, peer_transport::reply_sender reply)
 {
     if (request.home.instance != m_keys.self())
-        return reply({ false, {}, {} }); // that life of this node is over
+        return reply({ false, {}, {} }); // the key's home was an earlier incarnation of this node
     const auto answer = m_keys.onDelegationRequest(request.asker, request.key, request.home, boot_clock::now());
     if (answer.decision == key_decision::join) {
         m_waitingPeers[request.key].push_back({ request, std::move(reply) });
--- a/libs/node/src/load_exchange.cpp
+++ b/libs/node/src/load_exchange.cpp
@@ -1,4 +1,4 @@
-// Load entries.
+// Implements the conversion between the target table and the load entries of heartbeats.
 #include "load_exchange.h"
 
 #include "base/hash.h"
@@ -12,8 +12,8 @@
     constexpr std::uint8_t flagLeaving = 0x10;
     constexpr std::uint8_t flagChanging = 0x20;
     constexpr std::uint8_t roleMask = 0x0f;
-    constexpr double tokensPerStep = 1000.0 / 16;
-    constexpr std::int64_t oldestMilliseconds = 10'000; // older reports say nothing worth passing on
+    constexpr double tokensPerPiece = 1000.0 / 16;
+    constexpr std::int64_t maxReportAgeMilliseconds = 10'000; // older reports are too stale to forward
 
     template <class Integer> Integer clampTo(double value)
     {
@@ -29,37 +29,37 @@
 {
 }
 
-std::vector<target_id> load_exchange::watched(const std::vector<const peer_state*>& alive) const
+std::vector<target_id> load_exchange::targetsToPoll(const std::vector<const peer_state*>& alive) const
 {
-    std::vector<target_id> mine;
+    std::vector<target_id> selected;
     for (std::uint32_t row = 0; row < m_targets.size(); ++row) {
         if (m_targets.service[row] < 0)
             continue;
         const auto weight = rendezvousWeight(m_vm, m_targets.name[row]);
-        const bool isFirst = std::none_of(alive.begin(), alive.end(), [&](const peer_state* peer) {
+        const bool ranksFirst = std::none_of(alive.begin(), alive.end(), [&](const peer_state* peer) {
             return peer->availabilityZone == m_zone
                 && rendezvousWeight(peer->instance.node, m_targets.name[row]) > weight;
         });
-        if (isFirst)
-            mine.push_back({ row });
+        if (ranksFirst)
+            selected.push_back({ row });
     }
-    return mine;
+    return selected;
 }
 
 std::vector<load_entry> load_exchange::entries(std::size_t count, instant now)
 {
     std::vector<load_entry> out;
     const std::size_t rows = m_targets.size();
-    for (std::size_t seen = 0; seen < rows && out.size() < count; ++seen) {
-        const std::size_t row = m_next++ % rows;
+    for (std::size_t visited = 0; visited < rows && out.size() < count; ++visited) {
+        const std::size_t row = m_nextRow++ % rows;
         const auto& report = m_targets.reported[row];
         const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(now - report.measuredAt).count();
-        if (m_targets.service[row] < 0 || age > oldestMilliseconds)
+        if (m_targets.service[row] < 0 || age > maxReportAgeMilliseconds)
             continue;
         load_entry entry;
         entry.targetHash = static_cast<std::uint32_t>(m_targets.nameHash[row]);
         entry.running = clampTo<std::uint16_t>(report.running);
-        entry.prefillPieces = clampTo<std::uint16_t>(static_cast<double>(report.prefillTokens) / tokensPerStep);
+        entry.prefillPieces = clampTo<std::uint16_t>(static_cast<double>(report.prefillTokens) / tokensPerPiece);
         entry.ageMilliseconds = clampTo<std::uint16_t>(static_cast<double>(age));
         entry.flags = static_cast<std::uint8_t>(m_targets.role[row]);
         if (m_targets.isLeaving[row])
@@ -71,7 +71,7 @@
     return out;
 }
 
-void load_exchange::take(const std::vector<load_entry>& given, instant now)
+void load_exchange::applyEntries(const std::vector<load_entry>& received, instant now)
 {
     if (m_indexedRows != m_targets.size()) {
         m_rowByHash.clear();
@@ -79,7 +79,7 @@
             m_rowByHash[static_cast<std::uint32_t>(m_targets.nameHash[row])] = row;
         m_indexedRows = m_targets.size();
     }
-    for (const auto& entry : given) {
+    for (const auto& entry : received) {
         const auto found = m_rowByHash.find(entry.targetHash);
         if (found == m_rowByHash.end())
             continue;
@@ -87,13 +87,13 @@
         const instant measuredAt = now - std::chrono::milliseconds(entry.ageMilliseconds);
         if (m_targets.service[row] < 0 || measuredAt <= m_targets.reported[row].measuredAt)
             continue;
-        const auto tokens = static_cast<std::int64_t>(entry.prefillPieces * tokensPerStep);
+        const auto tokens = static_cast<std::int64_t>(entry.prefillPieces * tokensPerPiece);
         m_targets.report({ row }, { measuredAt, entry.running, tokens });
         const auto role = entry.flags & roleMask;
         if (role <= static_cast<int>(engine_role::decode))
             m_targets.role[row] = static_cast<engine_role>(role);
         m_targets.isChanging[row] = (entry.flags & flagChanging) != 0;
-        // The newest report's word counts, either way: a target that came back is given work again by every node.
+        // The newest report both sets and clears the flag, so that every node uses a returned target again.
         m_targets.isLeaving[row] = (entry.flags & flagLeaving) != 0;
     }
 }
--- a/libs/node/src/load_exchange.h
+++ b/libs/node/src/load_exchange.h
@@ -1,4 +1,5 @@
-// Passes the load of targets between nodes in heartbeats: nobody asks every target, everybody knows every load.
+// Provides the exchange of target loads in heartbeats, by which each node learns the load of every target although it
+// polls only some of them.
 #pragma once
 
 #include "decide/membership.h"
@@ -10,21 +11,24 @@
 
 namespace tamarack {
 
+/// Encodes and applies load entries for a target table, which must outlive it.
 class load_exchange {
 public:
     load_exchange(std::string vm, std::string availabilityZone, target_table& targets);
 
-    /// Targets that this node asks itself: of those in the table, the ones for which it ranks first in its zone.
-    std::vector<target_id> watched(const std::vector<const peer_state*>& alive) const;
-    /// Entries for the next heartbeat, at most `count`, turn by turn over the whole table.
+    /// Returns the targets that this node polls: those for which it has the highest rendezvous weight among the alive
+    /// nodes of its availability zone.
+    std::vector<target_id> targetsToPoll(const std::vector<const peer_state*>& alive) const;
+    /// Returns up to `count` entries for the next heartbeat. Successive calls go round-robin over the whole table.
     std::vector<load_entry> entries(std::size_t count, instant now);
-    void take(const std::vector<load_entry>& entries, instant now);
+    /// Applies entries received from a peer. Entries that are older than the known report are ignored.
+    void applyEntries(const std::vector<load_entry>& entries, instant now);
 
 private:
     std::string m_vm;
     std::string m_zone;
     target_table& m_targets;
-    std::size_t m_next = 0; // row at which the next heartbeat's entries begin
+    std::size_t m_nextRow = 0; // row, modulo the table size, at which the next heartbeat's entries begin
     std::unordered_map<std::uint32_t, std::uint32_t> m_rowByHash;
     std::size_t m_indexedRows = 0;
 };
--- a/libs/node/src/node.cpp
+++ b/libs/node/src/node.cpp
@@ -1,4 +1,4 @@
-// Wires the parts of a node together, and carries out what the traffic decisions say.
+// Connects the components of a node and executes the commands of the traffic decisions.
 #include "node/node.h"
 
 #include "admin_api.h"
@@ -18,10 +18,10 @@
 
     using namespace std::chrono_literals;
 
-    constexpr auto trafficTick = 20ms;
-    constexpr auto keepAliveTick = 500ms;
+    constexpr auto trafficTickInterval = 20ms;
+    constexpr auto keepAliveTickInterval = 500ms;
     constexpr duration targetSilence = 5s;
-    constexpr duration homeTimeout = 3s;
+    constexpr duration keyHomeTimeout = 3s;
     constexpr duration releaseTimeout = 3s;
 
     logger_options loggerOptions(const node_settings& settings, const instance_id& instance)
@@ -44,10 +44,10 @@
         std::function<void(const relay::outcome&)> onFinished);
     std::optional<error_kind> refusal() const;
     void execute(traffic_commands commands);
-    void executeOne(const traffic_command& command);
+    void executeCommand(const traffic_command& command);
     void tickTraffic();
     void tickSlow();
-    void callerGone(request_id id);
+    void handleCallerGone(request_id id);
     bool mayAccept(instant now) const;
 
     node_settings settings;
@@ -67,7 +67,7 @@
     http_server server;
     admin_api admin;
     std::unordered_map<request_id, std::shared_ptr<relay>> relays;
-    std::deque<traffic_command> pending; // commands not carried out yet
+    std::deque<traffic_command> pending; // commands that have not been executed yet
     bool isExecuting = false;
     QTimer trafficTimer;
     QTimer slowTimer;
@@ -91,7 +91,7 @@
               execute(std::move(commands));
           })
     , keys(instance, settings.keyMemory)
-    , idempotency(keys, control.peers(), control.decisions().members(), counters, homeTimeout)
+    , idempotency(keys, control.peers(), control.decisions().members(), counters, keyHomeTimeout)
     , services { client, traffic, counters, log, spans, spanIds, targetSilence }
     , api(
           settings, control.decisions(), traffic, idempotency, counters,
@@ -109,7 +109,7 @@
     , admin(settings, control, traffic, counters, [this] { drain(); })
 {
     control.setKeyHandler([this](const peer_request& request, peer_transport::reply_sender reply) {
-        idempotency.asked(request, std::move(reply));
+        idempotency.onPeerRequest(request, std::move(reply));
     });
     QObject::connect(&trafficTimer, &QTimer::timeout, [this] { tickTraffic(); });
     QObject::connect(&slowTimer, &QTimer::timeout, [this] { tickSlow(); });
@@ -124,8 +124,8 @@
         return "admin_port " + std::to_string(settings.adminPort) + " cannot be listened on";
     if (!control.start())
         return "peer_port " + std::to_string(settings.peerPort) + " cannot be listened on";
-    trafficTimer.start(trafficTick);
-    slowTimer.start(keepAliveTick);
+    trafficTimer.start(trafficTickInterval);
+    slowTimer.start(keepAliveTickInterval);
     log.write(log_event::node_started,
         { { "availability_zone", settings.availabilityZone }, { "address", settings.address },
             { "caller_port", settings.callerPort } });
@@ -142,7 +142,7 @@
     log.write(log_event::drain_started, { { "held", traffic.held() } });
 }
 
-// A caller that got this address just before the drain may come with it until the address's lifetime has passed.
+// A caller that received this address just before the drain may use it until its lifetime has passed.
 bool node::state::mayAccept(instant now) const
 {
     if (isDraining)
@@ -171,9 +171,9 @@
         traffic.attemptEnded(id, attempt, result, boot_clock::now(), next);
         execute(std::move(next));
     };
-    callbacks.onCallerGone = [this, id] { callerGone(id); };
+    callbacks.onCallerGone = [this, id] { handleCallerGone(id); };
     callbacks.onFinished = [this, id, onFinished = std::move(onFinished)](const relay::outcome& outcome) {
-        const auto kept = std::move(relays[id]); // lives until this call returns
+        const auto heldRelay = std::move(relays[id]); // keeps the relay alive until this call returns
         relays.erase(id);
         const auto name = outcome.answer ? "answered" : std::string(answerFor(outcome.error).type);
         counters.count("tamarack_requests_total", { { "outcome", name } });
@@ -187,23 +187,23 @@
     execute(std::move(commands));
 }
 
-void node::state::callerGone(request_id id)
+void node::state::handleCallerGone(request_id id)
 {
     const auto found = relays.find(id);
     if (found == relays.end())
         return;
     counters.count("tamarack_callers_gone_total");
-    // A non-idempotent request goes on, so that its outcome is known when the caller asks again.
+    // A non-idempotent request continues without its caller, so that its outcome is known when the caller retries.
     if (!found->second->shape().isIdempotent)
         return found->second->detachCaller();
-    const auto kept = std::move(found->second);
+    const auto heldRelay = std::move(found->second);
     relays.erase(found);
     traffic_commands commands;
     traffic.callerDisconnected(id, boot_clock::now(), commands);
     execute(std::move(commands));
 }
 
-// Carrying out a command may yield further ones; they queue up here instead of recursing.
+// Executing a command may produce further commands. They are queued here, which avoids recursion.
 void node::state::execute(traffic_commands commands)
 {
     pending.insert(pending.end(), commands.begin(), commands.end());
@@ -213,17 +213,17 @@
     while (!pending.empty()) {
         const traffic_command command = pending.front();
         pending.pop_front();
-        executeOne(command);
+        executeCommand(command);
     }
     isExecuting = false;
 }
 
-void node::state::executeOne(const traffic_command& command)
+void node::state::executeCommand(const traffic_command& command)
 {
     const auto id = std::visit([](const auto& c) { return c.request; }, command);
     const auto found = relays.find(id);
     if (found == relays.end())
-        return; // its caller has gone meanwhile
+        return; // the caller has disconnected in the meantime
     const auto item = found->second;
     if (const auto* start = std::get_if<start_attempt>(&command)) {
         if (traffic.isCurrent(id, start->attempt))
--- a/libs/node/src/order_deliverer.cpp
+++ b/libs/node/src/order_deliverer.cpp
@@ -1,4 +1,4 @@
-// Order delivery over HTTP.
+// Implements the delivery of orders over HTTP.
 #include "order_deliverer.h"
 
 #include <QTimer>
@@ -7,8 +7,9 @@
 namespace tamarack {
 
 namespace {
-    // Longer than TCP_USER_TIMEOUT: when it has passed, the kernel has dropped what it could not send.
-    constexpr auto unsentBytesLife = std::chrono::milliseconds(12'000);
+    // Must exceed TCP_USER_TIMEOUT: after this time the kernel has dropped the bytes of a request that it could not
+    // send.
+    constexpr auto bufferedBytesLifetime = std::chrono::milliseconds(12'000);
 }
 
 order_deliverer::order_deliverer(http_client& client, const logger& log, result_handler onResult)
@@ -34,11 +35,11 @@
             { "value", order.what.value } });
     m_client.fetch(
         target, request, options, [this, order](const http_response* response, const exchange_failure& failure) {
-            finished(order, response, failure);
+            onResponse(order, response, failure);
         });
 }
 
-void order_deliverer::finished(
+void order_deliverer::onResponse(
     const deliver_order& order, const http_response* response, const exchange_failure& failure)
 {
     if (response) {
@@ -52,7 +53,7 @@
     if (!failure.mayHaveReachedPeer)
         return m_onResult(order.order, delivery_result::not_sent);
     const auto id = order.order;
-    QTimer::singleShot(unsentBytesLife, &m_lifetime, [this, id] { m_onResult(id, delivery_result::closed); });
+    QTimer::singleShot(bufferedBytesLifetime, &m_timerContext, [this, id] { m_onResult(id, delivery_result::closed); });
 }
 
 }
--- a/libs/node/src/order_deliverer.h
+++ b/libs/node/src/order_deliverer.h
@@ -1,4 +1,4 @@
-// Sends orders to targets, each once, and reports what became of the sending.
+// Provides the delivery of orders to targets: each order is sent once and the result of the delivery is reported.
 #pragma once
 
 #include "decide/order_system.h"
@@ -10,21 +10,23 @@
 
 namespace tamarack {
 
+/// Sends orders through an HTTP client, which must outlive it.
 class order_deliverer {
 public:
     using result_handler = std::function<void(log_offset, delivery_result)>;
 
     order_deliverer(http_client& client, const logger& log, result_handler onResult);
 
+    /// Sends the order on a fresh connection, so that it is not sent again by the client. The result is reported later.
     void deliver(const deliver_order& order, const endpoint& target);
 
 private:
-    void finished(const deliver_order& order, const http_response* response, const exchange_failure& failure);
+    void onResponse(const deliver_order& order, const http_response* response, const exchange_failure& failure);
 
     http_client& m_client;
     const logger& m_log;
     result_handler m_onResult;
-    QObject m_lifetime; // ends pending timers with this object
+    QObject m_timerContext; // cancels pending timers when this object is destroyed
 };
 
 }
--- a/libs/node/src/problem_answer.cpp
+++ b/libs/node/src/problem_answer.cpp
@@ -1,4 +1,4 @@
-// Problem documents.
+// Implements the RFC 9457 problem documents.
 #include "problem_answer.h"
 
 #include <cmath>
@@ -22,12 +22,12 @@
         return body;
     }
 
-    duration effective(error_kind kind, duration retryAfter)
+    duration effectiveRetryAfter(error_kind kind, duration retryAfter)
     {
         return retryAfter > duration::zero() ? retryAfter : answerFor(kind).retryAfter;
     }
 
-    std::string textOf(const nlohmann::ordered_json& body)
+    std::string serialize(const nlohmann::ordered_json& body)
     {
         return body.dump(-1, ' ', false, nlohmann::ordered_json::error_handler_t::replace);
     }
@@ -36,7 +36,7 @@
 
 http_response problemAnswer(error_kind kind, std::string_view detail, duration retryAfter, const std::string& extra)
 {
-    const duration wait = effective(kind, retryAfter);
+    const duration wait = effectiveRetryAfter(kind, retryAfter);
     auto body = problem(kind, detail, wait);
     if (!extra.empty())
         body.update(nlohmann::ordered_json::parse(extra));
@@ -45,13 +45,13 @@
     response.headers.set("Content-Type", "application/problem+json");
     if (wait > duration::zero())
         response.headers.set("Retry-After", std::to_string(static_cast<long>(std::ceil(seconds(wait)))));
-    response.body = textOf(body);
+    response.body = serialize(body);
     return response;
 }
 
 std::string problemEvent(error_kind kind, std::string_view detail, duration retryAfter)
 {
-    return "event: error\ndata: " + textOf(problem(kind, detail, effective(kind, retryAfter))) + "\n\n";
+    return "event: error\ndata: " + serialize(problem(kind, detail, effectiveRetryAfter(kind, retryAfter))) + "\n\n";
 }
 
 }
--- a/libs/node/src/problem_answer.h
+++ b/libs/node/src/problem_answer.h
@@ -1,4 +1,4 @@
-// Makes the RFC 9457 answers from the table of error kinds.
+// Provides the RFC 9457 problem responses, which are built from the table of error kinds.
 #pragma once
 
 #include "base/error_kind.h"
@@ -8,11 +8,11 @@
 
 namespace tamarack {
 
-/// `retryAfter` replaces the table's time when it is above zero. `extra` holds further members, as JSON text of an
-/// object.
+/// Returns a problem response. A `retryAfter` above zero overrides the value from the table. `extra` is the JSON text
+/// of an object whose members are added to the body.
 http_response problemAnswer(
     error_kind kind, std::string_view detail, duration retryAfter = duration::zero(), const std::string& extra = {});
-/// The same as a server-sent event, for an answer whose head has already left.
+/// Returns the problem as a server-sent event, for a response whose head has already been sent.
 std::string problemEvent(error_kind kind, std::string_view detail, duration retryAfter);
 
 }
--- a/libs/node/src/relay.cpp
+++ b/libs/node/src/relay.cpp
@@ -1,4 +1,4 @@
-// The relay of one request.
+// Implements the relay of one request between its caller and the targets.
 #include "relay.h"
 
 #include "problem_answer.h"
@@ -13,20 +13,21 @@
 
 namespace {
 
-    constexpr std::size_t mostBufferedBytes = 8 * 1024 * 1024; // of an answer that is not streamed
+    constexpr std::size_t maxBufferedBytes = 8 * 1024 * 1024; // limit for an answer that is not streamed
     constexpr qint64 pauseAboveBytes = 512 * 1024;
     constexpr qint64 resumeBelowBytes = 64 * 1024;
-    constexpr duration keepAliveAfter = std::chrono::seconds(2);
+    constexpr duration keepAliveInterval = std::chrono::seconds(2);
     constexpr int statusKvMissing = 424;
     constexpr int statusUnavailable = 503;
     constexpr std::string_view endOfStream = "[DONE]";
 
-    /// Headers of one connection, or of the protocol between node and target, end here.
-    bool isPassedOn(std::string_view name)
+    /// Returns false for headers of a single connection or of the protocol between node and target.
+    bool isForwardedToCaller(std::string_view name)
     {
-        constexpr std::array<std::string_view, 9> kept { "connection", "keep-alive", "transfer-encoding", "trailer",
-            "upgrade", "content-length", "x-attempt-id", "x-ran", "proxy-connection" };
-        return std::none_of(kept.begin(), kept.end(), [&](auto own) { return equalsIgnoreCase(own, name); });
+        constexpr std::array<std::string_view, 9> withheldHeaders { "connection", "keep-alive", "transfer-encoding",
+            "trailer", "upgrade", "content-length", "x-attempt-id", "x-ran", "proxy-connection" };
+        return std::none_of(withheldHeaders.begin(), withheldHeaders.end(),
+            [&](auto withheld) { return equalsIgnoreCase(withheld, name); });
     }
 
     std::string_view toString(request_stage stage)
@@ -63,11 +64,11 @@
 void relay::bind(request_id id, callbacks handlers)
 {
     m_id = id;
-    m_on = std::move(handlers);
+    m_callbacks = std::move(handlers);
     m_caller->onClosed = [weak = weak_from_this()] {
         const auto self = weak.lock();
-        if (self && !self->m_isFinished && self->m_on.onCallerGone)
-            self->m_on.onCallerGone();
+        if (self && !self->m_isFinished && self->m_callbacks.onCallerGone)
+            self->m_callbacks.onCallerGone();
     };
     m_caller->onDrained = [weak = weak_from_this()] {
         if (const auto self = weak.lock())
@@ -98,7 +99,7 @@
 {
     exchange_options options;
     options.silenceTimeout = m_services.silenceTimeout;
-    // Only streams send signs of life; other answers may take as long as the request has.
+    // Only streams send data regularly. Other answers may take until the deadline of the request.
     if (!m_input.isStream)
         options.silenceTimeout = std::max(m_services.silenceTimeout, m_input.shape.deadline);
     options.freshConnection = !m_input.shape.isIdempotent;
@@ -138,7 +139,7 @@
 
 bool relay::isCurrent(const attempt_ptr& attempt) const
 {
-    return attempt == m_attempt && !attempt->isOver && m_services.traffic.isCurrent(m_id, attempt->command.attempt);
+    return attempt == m_attempt && !attempt->hasEnded && m_services.traffic.isCurrent(m_id, attempt->command.attempt);
 }
 
 void relay::onHead(const attempt_ptr& attempt, const http_response_head& head)
@@ -147,10 +148,10 @@
         return;
     attempt->status = head.status;
     const auto echoed = head.headers.find("x-attempt-id");
-    // What goes wrong without it: a target or a connection that mixes up answers hands one caller another's text. The
-    // echo is how that shows; such an answer is dropped whole.
-    const bool isCrossed = echoed != std::to_string(attempt->command.attempt.value);
-    if (isCrossed && (m_input.isEngine || !echoed.empty())) {
+    // A target or connection that mixes up answers would deliver the text of one caller to another. The echoed attempt
+    // id reveals this, and the whole answer is then discarded.
+    const bool isMismatched = echoed != std::to_string(attempt->command.attempt.value);
+    if (isMismatched && (m_input.isEngine || !echoed.empty())) {
         m_services.counters.count("tamarack_crossed_answers_total");
         return conclude(attempt, attempt_result::maybe_run);
     }
@@ -160,15 +161,15 @@
         return conclude(attempt, attempt_result::kv_missing);
     attempt->buffered.status = head.status;
     for (const auto& header : head.headers.entries) {
-        if (isPassedOn(header.name))
+        if (isForwardedToCaller(header.name))
             attempt->buffered.headers.entries.push_back(header);
     }
     attempt->isStreaming = m_input.isStream && head.status == 200 && attempt->command.stage != request_stage::prefill;
     if (attempt->isStreaming)
-        beginStream();
+        startCallerStream();
 }
 
-void relay::beginStream()
+void relay::startCallerStream()
 {
     m_lastWrite = boot_clock::now();
     if (m_caller->hasStarted() || !m_caller->isOpen())
@@ -187,9 +188,9 @@
         return;
     if (!attempt->isStreaming) {
         attempt->buffered.body += bytes;
-        if (attempt->buffered.body.size() <= mostBufferedBytes)
+        if (attempt->buffered.body.size() <= maxBufferedBytes)
             return;
-        // Without a bound one target's endless answer takes the node's memory, and every caller's answer with it.
+        // Without a limit, an endless answer of one target would exhaust the memory of the node and fail all requests.
         m_services.counters.count("tamarack_answers_too_large_total");
         return conclude(attempt, attempt_result::maybe_run);
     }
@@ -213,9 +214,9 @@
     }
     if (event.id) {
         if (*event.id < m_nextEvent)
-            return; // the caller has it already, from an earlier attempt
+            return; // already sent to the caller during an earlier attempt
         if (*event.id > m_nextEvent) {
-            // Events are missing. Passing on what follows would show a holed answer as whole.
+            // Events are missing. Forwarding the rest would present an answer with a gap as complete.
             m_services.counters.count("tamarack_stream_gaps_total");
             return conclude(attempt, attempt_result::cut);
         }
@@ -236,11 +237,11 @@
     if (!m_attempt || !m_attempt->exchange || m_isFinished)
         return;
     const auto queued = m_caller->bytesQueued();
-    const bool pause = m_isPaused ? queued > resumeBelowBytes : queued > pauseAboveBytes;
-    if (pause == m_isPaused)
+    const bool shouldPause = m_isPaused ? queued > resumeBelowBytes : queued > pauseAboveBytes;
+    if (shouldPause == m_isPaused)
         return;
-    m_isPaused = pause;
-    m_attempt->exchange->setReading(!pause);
+    m_isPaused = shouldPause;
+    m_attempt->exchange->setReading(!shouldPause);
 }
 
 void relay::onEnd(const attempt_ptr& attempt)
@@ -251,7 +252,7 @@
         return endPrefill(attempt);
     if (!attempt->isStreaming)
         return endBuffered(attempt);
-    // A stream that stops without its end mark was cut, however neatly the connection was closed.
+    // A stream that ends without its end marker is incomplete, even if the connection was closed properly.
     if (!attempt->sawEnd)
         return conclude(attempt, attempt_result::cut);
     const auto self = shared_from_this();
@@ -266,7 +267,7 @@
     const auto body = nlohmann::json::parse(attempt->buffered.body, nullptr, false);
     const bool hasHandle = body.is_object() && body.contains("kv") && body["kv"].is_string();
     if (attempt->status != 200 || !hasHandle) {
-        // The engine does not take the prompt; its answer is the answer.
+        // The engine rejected the prompt, and its error response is the answer to the caller.
         if (attempt->status >= 400 && attempt->status < 500)
             return endBuffered(attempt);
         return conclude(attempt, attempt_result::maybe_run);
@@ -281,7 +282,8 @@
     http_response answer = std::move(attempt->buffered);
     answer.headers.set("Tamarack-Home", m_input.homeHeader);
     answer.headers.set("traceparent", formatTraceparent(m_trace));
-    // The engine refused the prompt for good: the request ends here, also if a decode stage was to follow.
+    // The answer is final, so the request ends here even if a decode stage was to follow, as when the engine rejects
+    // the prompt in prefill.
     attempt->command.stage = request_stage::whole;
     m_services.traffic.wholeAnswerReceived(m_id, attempt->command.attempt);
     conclude(attempt, attempt_result::answered);
@@ -303,15 +305,15 @@
 
 void relay::conclude(const attempt_ptr& attempt, attempt_result result)
 {
-    TAMARACK_ASSERT(!attempt->isOver, "an attempt ends once");
-    attempt->isOver = true;
-    // An abandoned connection is never reused: what still comes on it belongs to this attempt.
+    TAMARACK_ASSERT(!attempt->hasEnded, "an attempt ends once");
+    attempt->hasEnded = true;
+    // The connection of an abandoned attempt is never reused, because data of that attempt may still arrive on it.
     if (result != attempt_result::answered)
         attempt->exchange->cancel();
     writeAttemptSpan(*attempt, result);
     m_services.counters.count("tamarack_attempts_total", { { "result", std::string(toString(result)) } });
-    if (m_on.onAttemptEnded)
-        m_on.onAttemptEnded(attempt->command.attempt, result);
+    if (m_callbacks.onAttemptEnded)
+        m_callbacks.onAttemptEnded(attempt->command.attempt, result);
 }
 
 void relay::writeAttemptSpan(const attempt_state& attempt, attempt_result result)
@@ -328,12 +330,13 @@
     const auto self = shared_from_this();
     if (m_isFinished)
         return;
-    if (m_attempt && !m_attempt->isOver) {
-        m_attempt->isOver = true;
+    if (m_attempt && !m_attempt->hasEnded) {
+        m_attempt->hasEnded = true;
         m_attempt->exchange->cancel();
     }
     if (m_caller->hasStarted()) {
-        // The head has left, so the error goes as an event, and the missing end of the body says "not whole".
+        // The head has already been sent, so the error is sent as an event, and the body is left without its end to
+        // mark the answer as incomplete.
         m_caller->write(problemEvent(kind, "the answer could not be completed; resume with Last-Event-ID", retryAfter));
         m_caller->abortWhenWritten();
     } else {
@@ -348,7 +351,7 @@
 void relay::keepAlive(instant now)
 {
     const bool isOpenStream = m_caller->isOpen() && m_caller->hasStarted() && !m_isFinished;
-    if (isOpenStream && now >= m_lastWrite + keepAliveAfter)
+    if (isOpenStream && now >= m_lastWrite + keepAliveInterval)
         writeToCaller(": keep-alive\n\n");
 }
 
@@ -367,11 +370,11 @@
     item.attributes.push_back({ "outcome",
         result.answer ? std::to_string(result.answer->status) : std::string(answerFor(result.error).type) });
     m_services.spans.write(item);
-    const double took = static_cast<double>(wallNanoseconds() - m_startedAt) / 1e9;
+    const double durationSeconds = static_cast<double>(wallNanoseconds() - m_startedAt) / 1e9;
     m_services.counters.observeSeconds(
-        "tamarack_request_seconds", took, { { "urgent", m_input.shape.isUrgent ? "yes" : "no" } });
-    if (m_on.onFinished)
-        m_on.onFinished(result);
+        "tamarack_request_seconds", durationSeconds, { { "urgent", m_input.shape.isUrgent ? "yes" : "no" } });
+    if (m_callbacks.onFinished)
+        m_callbacks.onFinished(result);
 }
 
 }
--- a/libs/node/src/relay.h
+++ b/libs/node/src/relay.h
@@ -1,4 +1,5 @@
-// Carries one request to targets and its answer back: whole, in order, once, across as many attempts as it takes.
+// Provides the relay of one request to targets and of its answer to the caller. Across any number of attempts, the
+// caller receives each part of the answer exactly once and in order.
 #pragma once
 
 #include "decide/traffic_system.h"
@@ -14,7 +15,7 @@
 
 namespace tamarack {
 
-/// What every relay of a node uses; outlives them.
+/// The services that all relays of a node share; must outlive the relays.
 struct relay_services {
     http_client& client;
     traffic_system& traffic;
@@ -25,21 +26,22 @@
     duration silenceTimeout;
 };
 
-/// What one request is, beyond what routing needs.
+/// A request with the data that is needed beyond routing.
 struct relay_input {
     request_shape shape;
-    http_request toTarget; ///< method, path, headers and body as the target shall see them
+    http_request toTarget; ///< method, path, headers and body as sent to the target
     bool isEngine = false;
     bool isStream = false;
     std::uint64_t firstEvent = 0; ///< id of the first event the caller still needs
     trace_context callerTrace;
-    std::string name; ///< for the span
-    std::string homeHeader; ///< `Tamarack-Home` of every answer
+    std::string name; ///< name of the trace span
+    std::string homeHeader; ///< value of the `Tamarack-Home` header of every answer
 };
 
+/// Relays one request. Attempts run one after another; events of former attempts are ignored.
 class relay : public std::enable_shared_from_this<relay> {
 public:
-    /// What became of the request, for whoever keeps outcomes: the answer, or the error it ended with.
+    /// The result of a request: the answer, or the error with which it ended if `answer` is null.
     struct outcome {
         const http_response* answer = nullptr;
         error_kind error = error_kind::internal;
@@ -47,7 +49,7 @@
     struct callbacks {
         std::function<void(attempt_id, attempt_result)> onAttemptEnded;
         std::function<void()> onCallerGone;
-        /// Called once; the relay does nothing after it.
+        /// Called exactly once, when the relay has finished.
         std::function<void(const outcome&)> onFinished;
     };
 
@@ -56,11 +58,12 @@
 
     void bind(request_id id, callbacks handlers);
     void start(const start_attempt& command);
-    /// Ends the request with an error, now.
+    /// Cancels the current attempt and ends the request with an error.
     void fail(error_kind kind, duration retryAfter);
-    /// A sign of life for the caller of a stream; called from time to time.
+    /// Sends a keep-alive comment on a stream without recent data. Called periodically.
     void keepAlive(instant now);
-    /// The caller has gone but the answer is still wanted, as for a non-idempotent request that runs.
+    /// Continues the request after its caller has disconnected, as for a non-idempotent request whose outcome is
+    /// needed.
     void detachCaller();
     const request_shape& shape() const { return m_input.shape; }
     bool hasCaller() const { return m_caller->isOpen(); }
@@ -72,12 +75,12 @@
         trace_context trace;
         std::int64_t startedAt = 0;
         int status = 0;
-        http_response buffered; // answers that are not streamed, and errors
+        http_response buffered; // an answer that is not streamed, or an error response
         event_splitter splitter;
         bool isStreaming = false;
         bool sawEnd = false;
         bool sawFirst = false;
-        bool isOver = false;
+        bool hasEnded = false;
     };
     using attempt_ptr = std::shared_ptr<attempt_state>;
 
@@ -92,7 +95,7 @@
     void endBuffered(const attempt_ptr& attempt);
     void conclude(const attempt_ptr& attempt, attempt_result result);
     void writeAttemptSpan(const attempt_state& attempt, attempt_result result);
-    void beginStream();
+    void startCallerStream();
     void writeToCaller(std::string_view bytes);
     void applyBackPressure();
     void finish(const outcome& result);
@@ -102,10 +105,10 @@
     relay_input m_input;
     std::shared_ptr<response_writer> m_caller;
     request_id m_id;
-    callbacks m_on;
-    attempt_ptr m_attempt; // the present one
-    std::string m_kvHandle; // stage decode: name of the KV cache at its source
-    std::uint64_t m_nextEvent; // id of the event that the caller gets next
+    callbacks m_callbacks;
+    attempt_ptr m_attempt; // the current attempt
+    std::string m_kvHandle; // handle of the KV cache at its source, for the decode stage
+    std::uint64_t m_nextEvent; // id of the next event to send to the caller
     instant m_lastWrite;
     trace_context m_trace;
     std::int64_t m_startedAt;
--- a/libs/node/src/target_poller.cpp
+++ b/libs/node/src/target_poller.cpp
@@ -1,4 +1,4 @@
-// Target status over HTTP.
+// Implements the polling of target status over HTTP.
 #include "target_poller.h"
 
 #include <nlohmann/json.hpp>
@@ -10,7 +10,7 @@
 
     using nlohmann::json;
 
-    std::optional<target_status> parseStatus(const std::string& body, instant askedAt)
+    std::optional<target_status> parseStatus(const std::string& body, instant sentAt)
     {
         const json root = json::parse(body, nullptr, false);
         if (!root.is_object())
@@ -18,7 +18,7 @@
         try {
             target_status status;
             status.view.isKnown = true;
-            status.view.requestedAt = askedAt;
+            status.view.requestedAt = sentAt;
             status.view.incarnation = root.at("incarnation");
             status.view.isChanging = root.value("changing", false);
             status.view.running = root.value("running", 0);
@@ -34,7 +34,7 @@
                 const auto& load = root["load"];
                 status.load.running = load.at("running");
                 status.load.prefillTokens = load.at("prefill_tokens");
-                status.load.measuredAt = askedAt - std::chrono::milliseconds(load.value("age_ms", 0));
+                status.load.measuredAt = sentAt - std::chrono::milliseconds(load.value("age_ms", 0));
             }
             return status;
         } catch (const json::exception&) {
@@ -44,17 +44,18 @@
 
 }
 
-target_poller::target_poller(http_client& client, duration timeout, status_handler onStatus, silence_handler onSilence)
+target_poller::target_poller(
+    http_client& client, duration timeout, status_handler onStatus, no_status_handler onNoStatus)
     : m_client(client)
     , m_timeout(timeout)
     , m_onStatus(std::move(onStatus))
-    , m_onSilence(std::move(onSilence))
+    , m_onNoStatus(std::move(onNoStatus))
 {
 }
 
 void target_poller::poll(const std::string& target, const endpoint& address)
 {
-    if (!m_awaited.insert(target).second)
+    if (!m_pendingTargets.insert(target).second)
         return;
     http_request request;
     request.method = "GET";
@@ -62,21 +63,21 @@
     exchange_options options;
     options.connectTimeout = m_timeout;
     options.silenceTimeout = m_timeout;
-    const instant askedAt = boot_clock::now();
+    const instant sentAt = boot_clock::now();
     m_client.fetch(
-        address, request, options, [this, target, askedAt](const http_response* response, const exchange_failure&) {
-            answered(target, askedAt, response);
+        address, request, options, [this, target, sentAt](const http_response* response, const exchange_failure&) {
+            onResponse(target, sentAt, response);
         });
 }
 
-void target_poller::answered(const std::string& target, instant askedAt, const http_response* response)
+void target_poller::onResponse(const std::string& target, instant sentAt, const http_response* response)
 {
-    m_awaited.erase(target);
-    const auto status = response && response->status == 200 ? parseStatus(response->body, askedAt) : std::nullopt;
+    m_pendingTargets.erase(target);
+    const auto status = response && response->status == 200 ? parseStatus(response->body, sentAt) : std::nullopt;
     if (status)
         m_onStatus(target, *status);
     else
-        m_onSilence(target);
+        m_onNoStatus(target);
 }
 
 }
--- a/libs/node/src/target_poller.h
+++ b/libs/node/src/target_poller.h
@@ -1,4 +1,4 @@
-// Asks targets for their status, each from few nodes, and hands on what they say.
+// Provides the polling of target status. Each target is polled by only a few nodes.
 #pragma once
 
 #include "decide/order_system.h"
@@ -11,7 +11,7 @@
 
 namespace tamarack {
 
-/// A target's own answer.
+/// The status that a target reported in response to a poll.
 struct target_status {
     target_view view;
     load_report load;
@@ -19,24 +19,26 @@
     bool hasLoad = false;
 };
 
+/// Polls targets through an HTTP client, which must outlive it.
 class target_poller {
 public:
     using status_handler = std::function<void(const std::string& target, const target_status&)>;
-    using silence_handler = std::function<void(const std::string& target)>;
+    using no_status_handler = std::function<void(const std::string& target)>;
 
-    target_poller(http_client& client, duration timeout, status_handler onStatus, silence_handler onSilence);
+    /// `onNoStatus` is called when a poll fails, times out or returns an invalid status.
+    target_poller(http_client& client, duration timeout, status_handler onStatus, no_status_handler onNoStatus);
 
-    /// Asks now, unless an answer from this target is still awaited.
+    /// Polls the target, unless an earlier poll of it is still pending.
     void poll(const std::string& target, const endpoint& address);
 
 private:
-    void answered(const std::string& target, instant askedAt, const http_response* response);
+    void onResponse(const std::string& target, instant sentAt, const http_response* response);
 
     http_client& m_client;
     duration m_timeout;
     status_handler m_onStatus;
-    silence_handler m_onSilence;
-    std::set<std::string> m_awaited;
+    no_status_handler m_onNoStatus;
+    std::set<std::string> m_pendingTargets; // targets with a poll in flight
 };
 
 }
--- a/libs/node/tests/test_load_exchange.cpp
+++ b/libs/node/tests/test_load_exchange.cpp
@@ -1,4 +1,4 @@
-// Loads between nodes.
+// Tests the exchange of target loads between nodes.
 #include "load_exchange.h"
 
 #include <catch2/catch.hpp>
@@ -38,7 +38,7 @@
 {
     auto table = tableOf(200);
     const std::vector<peer_state> nodes { peer("a1", "za"), peer("a2", "za"), peer("b1", "zb"), peer("b2", "zb") };
-    std::map<std::string, int> watchers; // by zone and target
+    std::map<std::string, int> pollingNodes; // by zone and target
     for (const auto& self : nodes) {
         std::vector<const peer_state*> others;
         for (const auto& other : nodes) {
@@ -46,11 +46,11 @@
                 others.push_back(&other);
         }
         const load_exchange exchange(self.instance.node, self.availabilityZone, table);
-        for (const auto id : exchange.watched(others))
-            ++watchers[self.availabilityZone + " " + table.name[id.value]];
+        for (const auto id : exchange.targetsToPoll(others))
+            ++pollingNodes[self.availabilityZone + " " + table.name[id.value]];
     }
-    CHECK(watchers.size() == 400);
-    for (const auto& [name, count] : watchers)
+    CHECK(pollingNodes.size() == 400);
+    for (const auto& [name, count] : pollingNodes)
         CHECK(count == 1);
 }
 
@@ -63,26 +63,25 @@
     for (std::uint32_t row = 0; row < 100; ++row)
         here.report({ row }, { at(0), static_cast<std::int32_t>(row), 1000 });
     for (int round = 0; round < 3; ++round)
-        receiver.take(sender.entries(40, at(0.1)), at(0.2));
+        receiver.applyEntries(sender.entries(40, at(0.1)), at(0.2));
     for (std::uint32_t row = 0; row < 100; ++row)
         CHECK(there.reported[row].running == static_cast<std::int32_t>(row));
 }
 
 TEST_CASE("test_target_that_came_back_is_used_again_by_every_node")
 {
-    // Symptom: a target that left and came back gets work from the few nodes that ask it, and from no other.
-    // Sequence: its leaving is spread; it comes back; the nodes that only hear of it keep the old word.
-    // Cause: leaving was spread, not leaving was not.
+    // Guards against a returned target that gets requests only from the few nodes that poll it. This happens if nodes
+    // forward that a target is leaving but not that it has returned: all other nodes then keep the outdated flag.
     auto here = tableOf(1);
     auto there = tableOf(1);
     load_exchange sender("a", "za", here);
     load_exchange receiver("b", "zb", there);
     here.report({ 0 }, { at(0), 1, 0 });
     here.isLeaving[0] = 1;
-    receiver.take(sender.entries(10, at(0)), at(0));
+    receiver.applyEntries(sender.entries(10, at(0)), at(0));
     CHECK_FALSE(there.acceptsWork({ 0 }, at(0)));
     here.report({ 0 }, { at(1), 1, 0 });
     here.isLeaving[0] = 0;
-    receiver.take(sender.entries(10, at(1)), at(1));
+    receiver.applyEntries(sender.entries(10, at(1)), at(1));
     CHECK(there.acceptsWork({ 0 }, at(1)));
 }
