--- a/libs/node/src/admin_api.cpp
+++ b/libs/node/src/admin_api.cpp
@@ -24,10 +24,10 @@
             { "ready", node.isReady }, { "stopping", node.isStopping } };
     }
 
-    ordered_json ordersJson(const replicated_state& state)
+    ordered_json ordersJson(const replicated_state& replicatedState)
     {
         auto list = ordered_json::array();
-        for (const auto& [target, orders] : state.data().orders) {
+        for (const auto& [target, orders] : replicatedState.data().orders) {
             if (!orders.isOpen)
                 continue;
             list.push_back({ { "target", target }, { "order", orders.last.value },
--- a/libs/node/src/completion_request.h
+++ b/libs/node/src/completion_request.h
@@ -13,8 +13,7 @@
     std::string user; ///< the body's `user`; empty if absent
     std::int64_t promptTokens = 0; ///< estimated from the length of the text
     std::int64_t maxTokens = 0;
-    std::uint64_t prefixHash
-        = 0; ///< hash of the first tokens of the prompt; 0 if the prompt is shorter than the prefix length
+    std::uint64_t prefixHash = 0; ///< hash of the prompt's prefix; 0 if the prompt is shorter
     bool isStream = false;
 };
 
--- a/libs/node/src/idempotency_handler.h
+++ b/libs/node/src/idempotency_handler.h
@@ -31,8 +31,9 @@
     void onRequestFinished(const std::string& key, const relay::outcome& outcome);
     /// Answers a request of a peer about a key whose home is this node.
     void onPeerRequest(const peer_request& request, peer_transport::reply_sender reply);
+    /// Expires stored keys; called periodically.
     void tick(instant now) { m_keys.tick(now); }
-    /// Returns the present value of the `Tamarack-Home` header.
+    /// Returns the current value of the `Tamarack-Home` header.
     std::string homeHeader() const;
     const instance_id& self() const { return m_keys.self(); }
 
@@ -54,9 +55,10 @@
     const membership& m_members;
     metrics& m_counters;
     duration m_timeout;
-    std::map<std::string, std::vector<std::shared_ptr<response_writer>>>
-        m_joinedCallers; // callers waiting for a run on this node, by key
-    std::map<std::string, std::vector<waiting_peer>> m_waitingPeers; // peers waiting for a run on this node, by key
+    // Callers waiting for a run on this node, by key.
+    std::map<std::string, std::vector<std::shared_ptr<response_writer>>> m_joinedCallers;
+    // Peers waiting for a run on this node, by key.
+    std::map<std::string, std::vector<waiting_peer>> m_waitingPeers;
 };
 
 }
--- a/libs/node/src/load_exchange.h
+++ b/libs/node/src/load_exchange.h
@@ -21,7 +21,7 @@
     std::vector<target_id> targetsToPoll(const std::vector<const peer_state*>& alive) const;
     /// Returns up to `count` entries for the next heartbeat. Successive calls go round-robin over the whole table.
     std::vector<load_entry> entries(std::size_t count, instant now);
-    /// Applies entries received from a peer. Entries that are older than the known report are ignored.
+    /// Applies entries received from a peer. Entries that are not newer than the known report are ignored.
     void applyEntries(const std::vector<load_entry>& entries, instant now);
 
 private:
--- a/libs/node/src/order_deliverer.h
+++ b/libs/node/src/order_deliverer.h
@@ -17,7 +17,8 @@
 
     order_deliverer(http_client& client, const logger& log, result_handler onResult);
 
-    /// Sends the order on a fresh connection, so that it is not sent again by the client. The result is reported later.
+    /// Sends the order on a fresh connection, because a reused one may leave it unknown whether the order arrived. The
+    /// result is reported through the handler.
     void deliver(const deliver_order& order, const endpoint& target);
 
 private:
--- a/libs/node/src/relay.cpp
+++ b/libs/node/src/relay.cpp
@@ -99,7 +99,8 @@
 {
     exchange_options options;
     options.silenceTimeout = m_services.silenceTimeout;
-    // Only streams send data regularly. Other answers may take until the deadline of the request.
+    // Only streams send data or keep-alive comments regularly. Other answers may take until the deadline of the
+    // request.
     if (!m_input.isStream)
         options.silenceTimeout = std::max(m_services.silenceTimeout, m_input.shape.deadline);
     options.freshConnection = !m_input.shape.isIdempotent;
--- a/libs/node/src/relay.h
+++ b/libs/node/src/relay.h
@@ -49,14 +49,16 @@
     struct callbacks {
         std::function<void(attempt_id, attempt_result)> onAttemptEnded;
         std::function<void()> onCallerGone;
-        /// Called exactly once, when the relay has finished.
+        /// Called once, when the request has ended with an answer or an error; the relay does nothing afterwards.
         std::function<void(const outcome&)> onFinished;
     };
 
     relay(relay_services& services, relay_input input, std::shared_ptr<response_writer> caller);
     ~relay();
 
+    /// Sets the id of the request and the callbacks. Must be called before start().
     void bind(request_id id, callbacks handlers);
+    /// Starts an attempt, which becomes the current one.
     void start(const start_attempt& command);
     /// Cancels the current attempt and ends the request with an error.
     void fail(error_kind kind, duration retryAfter);
