--- a/apps/tamarackctl/command_table.cpp
+++ b/apps/tamarackctl/command_table.cpp
@@ -1,4 +1,4 @@
-// The table, and small helpers of all commands.
+// Defines the command table and the helper functions that all commands use.
 #include "command_table.h"
 
 #include <array>
@@ -31,15 +31,15 @@
 
 std::span<const command> commands() { return table; }
 
-std::string operand(const arguments& given, std::size_t index)
+std::string operand(const arguments& args, std::size_t index)
 {
-    if (!given.count("operands"))
+    if (!args.count("operands"))
         return {};
-    const auto& all = given["operands"].as<std::vector<std::string>>();
+    const auto& all = args["operands"].as<std::vector<std::string>>();
     return index < all.size() ? all[index] : std::string();
 }
 
-int complain(int code, const std::string& message)
+int reportError(int code, const std::string& message)
 {
     std::cerr << "tamarackctl: " << message << "\n";
     return code;
@@ -49,7 +49,7 @@
 {
     std::ifstream stream(name);
     if (!stream) {
-        complain(exitUsage, name + " cannot be read");
+        reportError(exitUsage, name + " cannot be read");
         return false;
     }
     std::stringstream buffer;
--- a/apps/tamarackctl/command_table.h
+++ b/apps/tamarackctl/command_table.h
@@ -1,4 +1,4 @@
-// The commands of tamarackctl, as a table.
+// Declares the commands of tamarackctl, the table that lists them and the helper functions they share.
 #pragma once
 
 #include <boost/program_options.hpp>
@@ -7,20 +7,22 @@
 
 namespace tamarack::ctl {
 
+/// Exit codes of tamarackctl.
 enum exit_code {
     exitOk = 0,
-    exitFailed = 1, ///< the command ran and its answer is no: an invalid text, a lost race
-    exitUsage = 2,
-    exitUnreachable = 3
-}; ///< the log or a node did not answer
+    exitFailed = 1, ///< the result is negative: invalid text, a conflicting publication, nothing found
+    exitUsage = 2, ///< wrong arguments, or a file cannot be read
+    exitUnreachable = 3 ///< the log or a node did not respond
+};
 
 using arguments = boost::program_options::variables_map;
 
+/// One entry of the command table.
 struct command {
     const char* name;
-    const char* operands;
+    const char* operands; ///< as the help prints them
     const char* purpose;
-    int (*run)(const arguments&);
+    int (*run)(const arguments&); ///< returns an exit_code
 };
 
 std::span<const command> commands();
@@ -36,11 +38,11 @@
 int runLate(const arguments&);
 int runEndOrder(const arguments&);
 
-/// The operand at `index` after the command's name, or an empty string.
-std::string operand(const arguments& given, std::size_t index);
+/// Returns the operand at `index`, counted from 0 after the command's name, or an empty string if there is none.
+std::string operand(const arguments& args, std::size_t index);
 /// Prints "tamarackctl: message" to standard error and returns `code`.
-int complain(int code, const std::string& message);
-/// False, after a complaint, if the file cannot be read.
+int reportError(int code, const std::string& message);
+/// Reads a whole file into `text`. Returns false, after printing an error, if the file cannot be read.
 bool readFile(const std::string& name, std::string& text);
 
 }
--- a/apps/tamarackctl/log_command.cpp
+++ b/apps/tamarackctl/log_command.cpp
@@ -1,4 +1,4 @@
-// explain, failures and late: what the nodes' logs say of requests.
+// Implements explain, failures and late, which evaluate the nodes' log files.
 #include "command_table.h"
 
 #include "observe/log_story.h"
@@ -11,11 +11,12 @@
 
 namespace {
 
-    bool readLines(const arguments& given, std::size_t firstFile, std::vector<std::string>& lines)
+    /// Appends the lines of the files named by the operands from `firstFile` on. Returns false if one cannot be read.
+    bool readLines(const arguments& args, std::size_t firstFile, std::vector<std::string>& lines)
     {
-        for (std::size_t i = firstFile; !operand(given, i).empty(); ++i) {
+        for (std::size_t i = firstFile; !operand(args, i).empty(); ++i) {
             std::string text;
-            if (!readFile(operand(given, i), text))
+            if (!readFile(operand(args, i), text))
                 return false;
             std::istringstream stream(text);
             for (std::string line; std::getline(stream, line);)
@@ -26,45 +27,45 @@
 
 }
 
-int runExplain(const arguments& given)
+int runExplain(const arguments& args)
 {
-    const auto request = operand(given, 0);
-    if (request.empty() || operand(given, 1).empty())
-        return complain(exitUsage, "explain needs a request's id and the log files of the nodes");
+    const auto request = operand(args, 0);
+    if (request.empty() || operand(args, 1).empty())
+        return reportError(exitUsage, "explain needs a request's id and the log files of the nodes");
     std::vector<std::string> lines;
-    if (!readLines(given, 1, lines))
+    if (!readLines(args, 1, lines))
         return exitUsage;
     const auto story = formatRequestStory(lines, request);
     if (story.empty())
-        return complain(exitFailed, "no line names request " + request);
+        return reportError(exitFailed, "no log line mentions request " + request);
     std::cout << story;
     return exitOk;
 }
 
 namespace {
 
-    /// Prints a report over the lines of the span given.
-    int report(const arguments& given, const char* name,
+    /// Prints the report of `format` over the lines between --from and --to.
+    int report(const arguments& args, const char* name,
         std::string (*format)(const std::vector<std::string>& lines, const time_span& span))
     {
-        if (operand(given, 0).empty())
-            return complain(exitUsage, std::string(name) + " needs the log files of the nodes");
+        if (operand(args, 0).empty())
+            return reportError(exitUsage, std::string(name) + " needs the log files of the nodes");
         std::vector<std::string> lines;
-        if (!readLines(given, 0, lines))
+        if (!readLines(args, 0, lines))
             return exitUsage;
         time_span span;
-        if (given.count("from"))
-            span.from = given["from"].as<std::int64_t>();
-        if (given.count("to"))
-            span.to = given["to"].as<std::int64_t>();
+        if (args.count("from"))
+            span.from = args["from"].as<std::int64_t>();
+        if (args.count("to"))
+            span.to = args["to"].as<std::int64_t>();
         std::cout << format(lines, span);
         return exitOk;
     }
 
 }
 
-int runFailures(const arguments& given) { return report(given, "failures", formatFailureSummary); }
+int runFailures(const arguments& args) { return report(args, "failures", formatFailureSummary); }
 
-int runLate(const arguments& given) { return report(given, "late", formatLateSummary); }
+int runLate(const arguments& args) { return report(args, "late", formatLateSummary); }
 
 }
--- a/apps/tamarackctl/log_reader.cpp
+++ b/apps/tamarackctl/log_reader.cpp
@@ -1,4 +1,4 @@
-// Blocking access to the log.
+// Implements blocking reads of and appends to the log.
 #include "log_reader.h"
 
 #include "base/clock.h"
@@ -17,7 +17,7 @@
     : m_client(parseEndpoint(logAddress), stream, timeout)
     , m_self { "tamarackctl-" + std::to_string(getpid()), static_cast<std::uint64_t>(wallMilliseconds()) }
     , m_follower([this](const log_record& record, verdict v) {
-        // The client below may have sent a record twice; the first copy is the one that can be valid.
+        // The log client may have appended a record twice; only the first copy can be valid.
         if (record.origin.writer == m_self)
             m_verdicts.emplace(record.origin.sequence, v);
     })
@@ -47,7 +47,7 @@
 
 bool log_reader::readState() { return readToEnd() && !m_follower.hasGap(); }
 
-std::string log_reader::problem() const
+std::string log_reader::failureReason() const
 {
     if (m_follower.hasGap())
         return "the log's beginning has expired and no snapshot follows yet (the nodes write one every "
--- a/apps/tamarackctl/log_reader.h
+++ b/apps/tamarackctl/log_reader.h
@@ -1,4 +1,4 @@
-// Reads the whole log into the agreed state, as a node does.
+// Provides blocking access to the log: rebuilds the replicated state from it, as a node does, and appends records.
 #pragma once
 
 #include "decide/log_follower.h"
@@ -10,20 +10,21 @@
 
 namespace tamarack::ctl {
 
-/// A follower for the length of one command. Blocks in an event loop of its own.
+/// Follows the log for the duration of one command. Each call blocks in its own event loop.
 class log_reader {
 public:
     log_reader(const std::string& logAddress, const std::string& stream);
 
-    /// Reads to the end of the log. False if it does not answer.
+    /// Reads to the end of the log. Returns false if the log does not respond.
     bool readToEnd();
-    /// The same; false also if the log's beginning has expired and no snapshot tells what it established.
+    /// Reads to the end of the log. Returns false also if the oldest records have expired and no snapshot replaces
+    /// them, since the state is then incomplete.
     bool readState();
-    /// Why readState() was false.
-    std::string problem() const;
-    /// Appends; nothing when the outcome is not known.
+    /// Describes why readState() returned false.
+    std::string failureReason() const;
+    /// Appends a record and returns its offset, or nullopt if the outcome is not known.
     std::optional<std::int64_t> append(const record_body& body);
-    /// The verdict on the record with this sequence, once it was read.
+    /// Returns the verdict on this command's record with the given sequence, or nullopt before it was read back.
     std::optional<verdict> verdictOn(std::uint64_t sequence) const;
 
     const log_follower& follower() const { return m_follower; }
@@ -33,7 +34,7 @@
     log_client m_client;
     instance_id m_self;
     std::uint64_t m_sequence = 0;
-    std::map<std::uint64_t, verdict> m_verdicts; // of this command's own records
+    std::map<std::uint64_t, verdict> m_verdicts; // by sequence, for records appended by this command only
     log_follower m_follower;
 };
 
--- a/apps/tamarackctl/main.cpp
+++ b/apps/tamarackctl/main.cpp
@@ -1,4 +1,4 @@
-// The operators' program.
+// Entry point of tamarackctl, the operators' command-line program.
 #include "command_table.h"
 
 #include <QCoreApplication>
@@ -29,9 +29,9 @@
         "stream", options::value<std::string>()->default_value("tamarack"), "name of the log's stream")(
         "node", options::value<std::vector<std::string>>(), "admin address of a node, ip:port; may be repeated")(
         "base", options::value<std::uint64_t>(), "publish: the version that the text was made from")(
-        "author", options::value<std::string>(), "publish, end-order: who does it; default: the user's name")(
-        "from", options::value<std::int64_t>(), "failures: lines from this time on, as their ts_ms")(
-        "to", options::value<std::int64_t>(), "failures: lines up to this time")(
+        "author", options::value<std::string>(), "publish, end-order: who does it; default: the user's name")("from",
+        options::value<std::int64_t>(), "failures, late: only log lines from this time on, compared with ts_ms")(
+        "to", options::value<std::int64_t>(), "failures, late: only log lines up to this time")(
         "node-settings", "check: the files are nodes' settings")("json", "status: print the nodes' own JSON");
     options::options_description hidden;
     hidden.add_options()("command", options::value<std::string>())(
@@ -40,27 +40,27 @@
     all.add(visible).add(hidden);
     options::positional_options_description positional;
     positional.add("command", 1).add("operands", -1);
-    options::variables_map given;
+    options::variables_map args;
     try {
-        options::store(options::command_line_parser(argc, argv).options(all).positional(positional).run(), given);
-        options::notify(given);
+        options::store(options::command_line_parser(argc, argv).options(all).positional(positional).run(), args);
+        options::notify(args);
     } catch (const options::error& error) {
-        return ctl::complain(ctl::exitUsage, std::string(error.what()) + "; see --help");
+        return ctl::reportError(ctl::exitUsage, std::string(error.what()) + "; see --help");
     }
-    if (given.count("version")) {
+    if (args.count("version")) {
         std::cout << "tamarackctl " << TAMARACK_VERSION << "\n";
         return ctl::exitOk;
     }
-    if (given.count("help") || !given.count("command")) {
+    if (args.count("help") || !args.count("command")) {
         printHelp(visible);
-        return given.count("help") ? ctl::exitOk : ctl::exitUsage;
+        return args.count("help") ? ctl::exitOk : ctl::exitUsage;
     }
-    const auto name = given["command"].as<std::string>();
+    const auto name = args["command"].as<std::string>();
     for (const auto& command : ctl::commands()) {
         if (name != command.name)
             continue;
         QCoreApplication application(argc, argv);
-        return command.run(given);
+        return command.run(args);
     }
-    return ctl::complain(ctl::exitUsage, "no command is named " + name + "; see --help");
+    return ctl::reportError(ctl::exitUsage, "no command is named " + name + "; see --help");
 }
--- a/apps/tamarackctl/status_command.cpp
+++ b/apps/tamarackctl/status_command.cpp
@@ -1,4 +1,4 @@
-// status and drain: commands that talk to nodes.
+// Implements status and drain, which call the admin interface of nodes.
 #include "command_table.h"
 
 #include "http/http_client.h"
@@ -17,6 +17,8 @@
 
     using nlohmann::json;
 
+    /// Sends a request to a node and waits for the response. Returns its JSON object, or nullopt if the node did not
+    /// respond with status 200 and a JSON object.
     std::optional<json> callNode(http_client& client, const std::string& address, const char* method, const char* path)
     {
         http_request request;
@@ -50,7 +52,8 @@
             std::printf("    alarm %s: %s\n", item.value("alarm", "").c_str(), item.value("detail", "").c_str());
     }
 
-    void printShared(const json& node)
+    /// Prints the leases, open orders and targets, which all nodes share, as one node reports them.
+    void printSharedState(const json& node)
     {
         for (const auto& lease : node["leases"])
             std::printf("lease %-28s holder %s term %lld\n", lease.value("lease", "").c_str(),
@@ -69,19 +72,19 @@
 
 }
 
-int runStatus(const arguments& given)
+int runStatus(const arguments& args)
 {
-    if (!given.count("node"))
-        return complain(exitUsage, "status needs --node ip:port, the admin address of any node");
+    if (!args.count("node"))
+        return reportError(exitUsage, "status needs --node ip:port, the admin address of any node");
     http_client client;
-    auto addresses = given["node"].as<std::vector<std::string>>();
+    auto addresses = args["node"].as<std::vector<std::string>>();
     std::vector<json> nodes;
-    bool isAnySilent = false;
+    bool hasUnreachableNode = false;
     for (std::size_t i = 0; i < addresses.size(); ++i) {
         const auto status = callNode(client, addresses[i], "GET", "/status");
         if (!status) {
-            complain(exitUnreachable, "node " + addresses[i] + " does not answer");
-            isAnySilent = true;
+            reportError(exitUnreachable, "node " + addresses[i] + " does not answer");
+            hasUnreachableNode = true;
             continue;
         }
         for (const auto& peer : status->value("peers", json::array())) {
@@ -92,24 +95,24 @@
         nodes.push_back(*status);
     }
     for (const auto& node : nodes) {
-        if (given.count("json"))
+        if (args.count("json"))
             std::cout << node.dump(2) << "\n";
         else
             printNode(node);
     }
-    if (!nodes.empty() && !given.count("json"))
-        printShared(nodes.front());
-    return isAnySilent ? exitUnreachable : exitOk;
+    if (!nodes.empty() && !args.count("json"))
+        printSharedState(nodes.front());
+    return hasUnreachableNode ? exitUnreachable : exitOk;
 }
 
-int runDrain(const arguments& given)
+int runDrain(const arguments& args)
 {
-    if (!given.count("node"))
-        return complain(exitUsage, "drain needs --node ip:port, the admin address of the node that shall stop");
+    if (!args.count("node"))
+        return reportError(exitUsage, "drain needs --node ip:port, the admin address of the node that shall stop");
     http_client client;
-    for (const auto& address : given["node"].as<std::vector<std::string>>()) {
+    for (const auto& address : args["node"].as<std::vector<std::string>>()) {
         if (!callNode(client, address, "POST", "/drain"))
-            return complain(exitUnreachable, "node " + address + " does not answer");
+            return reportError(exitUnreachable, "node " + address + " does not answer");
         std::cout << "node " << address << " is draining\n";
     }
     return exitOk;
--- a/apps/tamarackctl/text_command.cpp
+++ b/apps/tamarackctl/text_command.cpp
@@ -1,4 +1,4 @@
-// check, diff and trace: commands over texts and files.
+// Implements check and diff for configuration texts, and trace for span files.
 #include "command_table.h"
 #include "log_reader.h"
 #include "text_diff.h"
@@ -15,6 +15,7 @@
 
 namespace {
 
+    /// Returns the number of errors.
     std::size_t printErrors(const setting_errors& errors)
     {
         for (const auto& error : errors)
@@ -22,6 +23,7 @@
         return errors.size();
     }
 
+    /// Prints the errors of a text and returns their number.
     std::size_t checkFile(const std::string& name, const std::string& text, bool isNode)
     {
         if (isNode) {
@@ -56,55 +58,55 @@
     return lines;
 }
 
-int runCheck(const arguments& given)
+int runCheck(const arguments& args)
 {
-    if (operand(given, 0).empty())
-        return complain(exitUsage, "check needs a FILE");
+    if (operand(args, 0).empty())
+        return reportError(exitUsage, "check needs a FILE");
     std::size_t errors = 0;
-    for (std::size_t i = 0; !operand(given, i).empty(); ++i) {
+    for (std::size_t i = 0; !operand(args, i).empty(); ++i) {
         std::string text;
-        if (!readFile(operand(given, i), text))
+        if (!readFile(operand(args, i), text))
             return exitUsage;
-        const auto found = checkFile(operand(given, i), text, given.count("node-settings") > 0);
+        const auto found = checkFile(operand(args, i), text, args.count("node-settings") > 0);
         if (found == 0)
-            std::cout << operand(given, i) << ": ok\n";
+            std::cout << operand(args, i) << ": ok\n";
         errors += found;
     }
     if (errors == 0)
         return exitOk;
-    return complain(exitFailed, std::to_string(errors) + " error(s)");
+    return reportError(exitFailed, std::to_string(errors) + " error(s)");
 }
 
-int runDiff(const arguments& given)
+int runDiff(const arguments& args)
 {
     std::string text;
-    if (operand(given, 0).empty() || !given.count("log"))
-        return complain(exitUsage, "diff needs a FILE and --log ip:port");
-    if (!readFile(operand(given, 0), text))
+    if (operand(args, 0).empty() || !args.count("log"))
+        return reportError(exitUsage, "diff needs a FILE and --log ip:port");
+    if (!readFile(operand(args, 0), text))
         return exitUsage;
-    log_reader log(given["log"].as<std::string>(), given["stream"].as<std::string>());
+    log_reader log(args["log"].as<std::string>(), args["stream"].as<std::string>());
     if (!log.readState())
-        return complain(exitUnreachable, log.problem() + "; nothing was compared");
+        return reportError(exitUnreachable, log.failureReason() + "; nothing was compared");
     const auto& inForce = log.follower().state().configuration();
     std::cout << "in force: version " << inForce.version << " by " << inForce.author << "\n"
               << describeDifference(inForce.text, text);
     return exitOk;
 }
 
-int runTrace(const arguments& given)
+int runTrace(const arguments& args)
 {
-    const auto traceId = operand(given, 0);
-    if (traceId.empty() || operand(given, 1).empty())
-        return complain(exitUsage, "trace needs a TRACE-ID and span FILEs");
+    const auto traceId = operand(args, 0);
+    if (traceId.empty() || operand(args, 1).empty())
+        return reportError(exitUsage, "trace needs a TRACE-ID and span FILEs");
     std::vector<std::string> lines;
-    for (std::size_t i = 1; !operand(given, i).empty(); ++i) {
-        std::ifstream stream(operand(given, i));
+    for (std::size_t i = 1; !operand(args, i).empty(); ++i) {
+        std::ifstream stream(operand(args, i));
         for (std::string line; std::getline(stream, line);)
             lines.push_back(line);
     }
     const auto tree = formatTraceTree(lines, traceId);
     if (tree.empty())
-        return complain(exitFailed, "no span of trace " + traceId + " is in these files");
+        return reportError(exitFailed, "no span of trace " + traceId + " is in these files");
     std::cout << "trace " << traceId << "\n" << tree;
     return exitOk;
 }
--- a/apps/tamarackrelay/exit_code.h
+++ b/apps/tamarackrelay/exit_code.h
@@ -1,8 +1,8 @@
-// Exit codes of the node program.
+// Defines the exit codes of the node program.
 #pragma once
 
 namespace tamarack {
 
-enum exit_code { exitOk = 0, exitUsage = 2, exitSettings = 3, exitStart = 4 };
+enum exit_code { exitOk = 0, exitUsage = 2, exitSettingsError = 3, exitStartFailed = 4 };
 
 }
--- a/apps/tamarackrelay/platform_program.cpp
+++ b/apps/tamarackrelay/platform_program.cpp
@@ -1,4 +1,4 @@
-// Settings, ports and the gateway put together.
+// Connects the platform's settings, the ports and the gateway.
 #include "platform_program.h"
 
 #include "exit_code.h"
@@ -24,7 +24,7 @@
 
     using namespace std::chrono_literals;
 
-    /// The file may change without a signal; some kilobytes are read this often.
+    /// The settings file may change without a SIGHUP, so it is polled. It has only a few kilobytes.
     constexpr auto settingsCheckInterval = 2s;
 
     std::string readFile(const std::string& path)
@@ -35,7 +35,7 @@
         return text.str();
     }
 
-    /// The settings as last read, and what happens when they change.
+    /// Holds the settings as last read and applies changes of the file to the running gateway.
     class watched_settings {
     public:
         explicit watched_settings(std::string path)
@@ -49,7 +49,7 @@
             return users_platform::readSettings(m_text, m_path);
         }
 
-        /// Settings that cannot be read are told and passed over: those in force stay.
+        /// Applies the file if it has changed. If it is invalid, prints the errors and keeps the settings in force.
         void reload(gateway& running)
         {
             auto text = readFile(m_path);
@@ -74,25 +74,25 @@
     {
         for (const auto& error : errors)
             std::cerr << toString(error) << "\n";
-        return exitSettings;
+        return exitSettingsError;
     }
 
-    int run(int argc, char** argv, watched_settings& settings, const gateway_settings& first)
+    int run(int argc, char** argv, watched_settings& settings, const gateway_settings& initialSettings)
     {
         std::signal(SIGPIPE, SIG_IGN);
         gateway* running = nullptr;
         signal_watch signals({ [&] { running->drain(); }, [&] { settings.reload(*running); } });
         QCoreApplication application(argc, argv);
         http_client client;
-        users_platform::store store(client, first.store);
+        users_platform::store store(client, initialSettings.store);
         const users_platform::callers callers;
         const users_platform::targets targets;
         const users_platform::records records;
-        gateway node(first, { callers, targets, records, store }, client, [] { QCoreApplication::quit(); });
+        gateway node(initialSettings, { callers, targets, records, store }, client, [] { QCoreApplication::quit(); });
         running = &node;
         if (const auto failure = node.start(); !failure.empty()) {
             std::cerr << "tamarackrelay: " << failure << "; is another process using it?\n";
-            return exitStart;
+            return exitStartFailed;
         }
         signals.begin();
         QTimer settingsTimer;
@@ -108,7 +108,7 @@
     const auto path = users_platform::settingsPath();
     if (path.empty()) {
         std::cerr << "tamarackrelay: the environment does not say where the platform's settings are\n";
-        return exitSettings;
+        return exitSettingsError;
     }
     watched_settings settings(path);
     const auto read = settings.current();
--- a/apps/tamarackrelay/signal_watch.cpp
+++ b/apps/tamarackrelay/signal_watch.cpp
@@ -1,4 +1,4 @@
-// signalfd behind a notifier.
+// Implements signal_watch with a signalfd and a socket notifier.
 #include "signal_watch.h"
 
 #include <csignal>
@@ -9,7 +9,7 @@
 
 namespace {
 
-    int openSignals()
+    int createSignalDescriptor()
     {
         sigset_t signals;
         sigemptyset(&signals);
@@ -21,9 +21,9 @@
 
 }
 
-signal_watch::signal_watch(signal_handlers on)
-    : m_on(std::move(on))
-    , m_descriptor(openSignals())
+signal_watch::signal_watch(signal_handlers handlers)
+    : m_handlers(std::move(handlers))
+    , m_descriptor(createSignalDescriptor())
 {
 }
 
@@ -44,7 +44,7 @@
     signalfd_siginfo info;
     while (::read(m_descriptor, &info, sizeof info) == sizeof info) {
         const bool isReload = info.ssi_signo == SIGHUP;
-        const auto& handler = isReload ? m_on.onReload : m_on.onStop;
+        const auto& handler = isReload ? m_handlers.onReload : m_handlers.onStop;
         if (handler)
             handler();
     }
