--- a/libs/base/include/base/clock.h
+++ b/libs/base/include/base/clock.h
@@ -1,4 +1,5 @@
-// Time as the decisions see it: a count since an arbitrary start that also runs while the VM is suspended.
+// Provides the clock that all decisions use: time since an arbitrary origin, which also advances while the VM is
+// suspended.
 #pragma once
 
 #include <chrono>
@@ -13,14 +14,15 @@
     using period = duration::period;
     using time_point = std::chrono::time_point<boot_clock>;
 
-    /// Reads CLOCK_BOOTTIME. A clock that stops while the VM is suspended would let a lease holder trust a lapsed
-    /// lease.
+    /// Returns the time of CLOCK_BOOTTIME. With a clock that stops while the VM is suspended, a lease holder would
+    /// still consider a lease valid that has expired in the meantime.
     static time_point now();
 };
 
 using instant = boot_clock::time_point;
 
-/// Wall clock in milliseconds since 1970; for logs and issue times, never for decisions about authority.
+/// Returns the wall-clock time in milliseconds since the Unix epoch. It is for logs and issue times only; decisions
+/// about leases and other authority must not depend on it.
 std::int64_t wallMilliseconds();
 
 constexpr double seconds(duration d) { return std::chrono::duration<double>(d).count(); }
--- a/libs/base/include/base/contract.h
+++ b/libs/base/include/base/contract.h
@@ -1,11 +1,11 @@
-// Precondition checks that stay on in release builds.
+// Provides a precondition check that stays enabled in release builds.
 #pragma once
 
 #include <cstdio>
 #include <cstdlib>
 
-/// Ends the process with a message when a precondition does not hold: going on would act on a state nobody reasoned
-/// about.
+/// Aborts the process with a message if a precondition does not hold. Continuing would mean acting on a state that the
+/// design does not cover.
 #define TAMARACK_ASSERT(condition, message)                                                                            \
     do {                                                                                                               \
         if (!(condition)) {                                                                                            \
--- a/libs/base/include/base/error_kind.h
+++ b/libs/base/include/base/error_kind.h
@@ -1,4 +1,4 @@
-// The closed list of errors that a caller can be told, and what each one means.
+// Defines the closed set of errors that can be returned to a caller, and the response for each of them.
 #pragma once
 
 #include "base/clock.h"
@@ -30,22 +30,22 @@
     count
 };
 
-/// Whether the request was executed, as far as the answer can promise.
+/// Whether the request was executed, as far as the response can guarantee.
 enum class ran : unsigned char { no, unknown, yes };
 
-/// What a caller is told for one kind of error.
+/// The response to a caller for one kind of error.
 struct error_answer {
     error_kind kind;
-    std::string_view type; ///< last part of the RFC 9457 `type`
+    std::string_view type; ///< last segment of the RFC 9457 `type` URI
     int status; ///< HTTP status
     ran executed;
-    duration retryAfter; ///< default; zero when asking again cannot help
+    duration retryAfter; ///< default value of Retry-After; zero if a retry cannot succeed
     std::string_view title;
 };
 
-/// The row for `kind`. The table is complete and in the order of the enumeration.
+/// Returns the response for `kind`. The table has one row for each enumerator, in the order of the enumeration.
 const error_answer& answerFor(error_kind kind);
-/// All rows, for documentation and tests.
+/// Returns all rows of the table, for documentation and tests.
 std::span<const error_answer> errorAnswers();
 std::string_view toString(ran);
 
--- a/libs/base/include/base/hash.h
+++ b/libs/base/include/base/hash.h
@@ -1,4 +1,4 @@
-// Stable hashes: the same on every node and in every software version.
+// Provides stable hashes: they are the same on every node and in every software version.
 #pragma once
 
 #include <cstdint>
@@ -6,13 +6,14 @@
 
 namespace tamarack {
 
-/// XXH3 of the bytes.
+/// Returns the 64-bit XXH3 hash of `bytes`.
 std::uint64_t stableHash(std::string_view bytes, std::uint64_t seed = 0);
 
-/// Rendezvous weight of `item` for `chooser`: the highest weights win, so few choices move when the set changes.
-std::uint64_t rendezvousWeight(std::string_view chooser, std::string_view item);
-/// The same in two steps, for a chooser with many items.
-std::uint64_t rendezvousSeed(std::string_view chooser);
-std::uint64_t rendezvousWeight(std::uint64_t chooserSeed, std::string_view item);
+/// Returns the rendezvous (highest random weight) hash of `item` for `key`. The items with the highest weights are
+/// selected, so few selections change when the set of items changes.
+std::uint64_t rendezvousWeight(std::string_view key, std::string_view item);
+/// Returns the seed of `key` for the overload below. Computing the seed once is cheaper for a key with many items.
+std::uint64_t rendezvousSeed(std::string_view key);
+std::uint64_t rendezvousWeight(std::uint64_t keySeed, std::string_view item);
 
 }
--- a/libs/base/include/base/ids.h
+++ b/libs/base/include/base/ids.h
@@ -1,4 +1,4 @@
-// The ids used across the system.
+// Defines the ID types that are used across the system.
 #pragma once
 
 #include "base/strong_id.h"
@@ -7,18 +7,18 @@
 
 namespace tamarack {
 
-/// Row of a target in the target table of one node. Not meaningful on another node.
+/// Row index of a target in the target table of one node. It has no meaning on other nodes.
 using target_id = strong_id<struct target_tag>;
-/// Row of a service in the configuration in force.
+/// Row index of a service in the configuration in force.
 using service_id = strong_id<struct service_tag>;
-/// A request held by this node, unique within the life of the process.
+/// Identifies a request that this node is handling. Unique for the lifetime of the process.
 using request_id = strong_id<struct request_tag, std::uint64_t>;
-/// One try of a request at one target, unique within the life of the process.
+/// Identifies one attempt to execute a request on one target. Unique for the lifetime of the process.
 using attempt_id = strong_id<struct attempt_tag, std::uint64_t>;
-/// Place of a record in the platform's log.
+/// Offset of a record in the platform's log.
 using log_offset = strong_id<struct offset_tag, std::int64_t>;
 
-/// One life of one process: the node's name and a number that rises with every start.
+/// Identifies one run of a node's process: the node's name and an incarnation number that increases with every start.
 struct instance_id {
     std::string node;
     std::uint64_t incarnation = 0;
@@ -27,9 +27,9 @@
     bool isValid() const { return !node.empty(); }
 };
 
-/// `name@incarnation`, as callers and log records carry it.
+/// Returns `name@incarnation`, the form used in requests of callers and in log records.
 std::string toString(const instance_id&);
-/// The inverse of toString(); an invalid id if the text is not one.
+/// Parses the form that toString() returns. Returns an invalid ID if `text` is malformed.
 instance_id parseInstance(const std::string&);
 
 }
--- a/libs/base/include/base/random_source.h
+++ b/libs/base/include/base/random_source.h
@@ -1,11 +1,11 @@
-// A small seeded generator: the same choices for the same seed on every machine.
+// Provides a small seeded random number generator whose sequence is the same on every VM for the same seed.
 #pragma once
 
 #include <cstdint>
 
 namespace tamarack {
 
-/// xorshift64*; for spreading choices, not for secrets.
+/// An xorshift64* generator for randomizing decisions. It is not cryptographically secure.
 class random_source {
 public:
     explicit random_source(std::uint64_t seed)
@@ -20,9 +20,9 @@
         m_state ^= m_state >> 27;
         return m_state * 0x2545f4914f6cdd1dULL;
     }
-    /// A number below `bound`, which must not be 0.
+    /// Returns a number in [0, bound). `bound` must not be 0.
     std::uint64_t below(std::uint64_t bound) { return next() % bound; }
-    /// In [0, 1).
+    /// Returns a number in [0, 1).
     double unit() { return static_cast<double>(next() >> 11) * 0x1.0p-53; }
 
 private:
--- a/libs/base/include/base/strong_id.h
+++ b/libs/base/include/base/strong_id.h
@@ -1,4 +1,4 @@
-// An integer that cannot be mixed up with another kind of integer.
+// Provides integer ID types that the compiler keeps apart from each other.
 #pragma once
 
 #include <compare>
@@ -7,7 +7,7 @@
 
 namespace tamarack {
 
-/// An id of one kind; `Tag` only tells the kinds apart. Default constructed ids are invalid.
+/// An ID of one kind. `Tag` only makes the types distinct. A default-constructed ID is invalid.
 template <class Tag, class Rep = std::uint32_t> struct strong_id {
     static constexpr Rep invalidValue = static_cast<Rep>(-1);
 
--- a/libs/base/src/boot_clock.cpp
+++ b/libs/base/src/boot_clock.cpp
@@ -1,4 +1,4 @@
-// Reads the system's clocks.
+// Implements the clocks of base/clock.h with the clocks of the operating system.
 #include "base/clock.h"
 
 #include <ctime>
--- a/libs/base/src/error_kind.cpp
+++ b/libs/base/src/error_kind.cpp
@@ -1,4 +1,4 @@
-// The table from error kind to answer.
+// Implements the table of error responses.
 #include "base/error_kind.h"
 
 #include "base/contract.h"
@@ -11,17 +11,18 @@
 
     using namespace std::chrono_literals;
 
-    constexpr auto never = duration::zero();
+    constexpr auto noRetry = duration::zero();
 
     constexpr std::array<error_answer, static_cast<std::size_t>(error_kind::count)> table { {
-        { error_kind::bad_request, "bad-request", 400, ran::no, never, "The request cannot be understood" },
-        { error_kind::header_too_large, "header-too-large", 431, ran::no, never, "The request's header is too large" },
-        { error_kind::body_too_large, "body-too-large", 413, ran::no, never, "The request's body is too large" },
-        { error_kind::request_timeout, "request-timeout", 408, ran::no, never, "The request did not arrive whole" },
-        { error_kind::unknown_service, "unknown-service", 404, ran::no, never, "No such service or model" },
-        { error_kind::home_required, "home-required", 428, ran::no, never,
+        { error_kind::bad_request, "bad-request", 400, ran::no, noRetry, "The request cannot be understood" },
+        { error_kind::header_too_large, "header-too-large", 431, ran::no, noRetry,
+            "The request's header is too large" },
+        { error_kind::body_too_large, "body-too-large", 413, ran::no, noRetry, "The request's body is too large" },
+        { error_kind::request_timeout, "request-timeout", 408, ran::no, noRetry, "The request did not arrive whole" },
+        { error_kind::unknown_service, "unknown-service", 404, ran::no, noRetry, "No such service or model" },
+        { error_kind::home_required, "home-required", 428, ran::no, noRetry,
             "A non-idempotent request needs Idempotency-Key and Tamarack-Home" },
-        { error_kind::key_moved, "key-moved", 409, ran::no, never, "Another node was given this key" },
+        { error_kind::key_moved, "key-moved", 409, ran::no, noRetry, "Another node was given this key" },
         { error_kind::account_limit, "account-limit", 429, ran::no, 1s, "The account's limit is reached" },
         { error_kind::overloaded, "overloaded", 503, ran::no, 1s, "No capacity for this request now" },
         { error_kind::deadline_unreachable, "deadline-unreachable", 503, ran::no, 1s,
@@ -30,11 +31,11 @@
         { error_kind::not_ready, "not-ready", 503, ran::no, 1s, "This node does not know the configuration in force" },
         { error_kind::stopping, "stopping", 503, ran::no, 1s, "This node is stopping; ask /v1/entries elsewhere" },
         { error_kind::target_unreachable, "target-unreachable", 502, ran::no, 1s, "No target could be reached" },
-        { error_kind::outcome_unknown, "outcome-unknown", 502, ran::unknown, never,
+        { error_kind::outcome_unknown, "outcome-unknown", 502, ran::unknown, noRetry,
             "The request may or may not have run" },
         { error_kind::answer_cut, "answer-cut", 502, ran::yes, 1s, "The answer ended early and could not be resumed" },
         { error_kind::attempt_timeout, "attempt-timeout", 504, ran::unknown, 1s, "The target stayed silent" },
-        { error_kind::internal, "internal", 500, ran::unknown, never, "The node failed" },
+        { error_kind::internal, "internal", 500, ran::unknown, noRetry, "The node failed" },
     } };
 
     constexpr bool isComplete()
--- a/libs/base/src/hash.cpp
+++ b/libs/base/src/hash.cpp
@@ -1,4 +1,4 @@
-// Stable hashes by xxHash, and the text form of an instance.
+// Implements the stable hashes with xxHash, and the text form of an instance ID.
 #include "base/hash.h"
 #include "base/ids.h"
 
@@ -12,17 +12,14 @@
     return XXH3_64bits_withSeed(bytes.data(), bytes.size(), seed);
 }
 
-std::uint64_t rendezvousWeight(std::string_view chooser, std::string_view item)
+std::uint64_t rendezvousWeight(std::string_view key, std::string_view item)
 {
-    return rendezvousWeight(rendezvousSeed(chooser), item);
+    return rendezvousWeight(rendezvousSeed(key), item);
 }
 
-std::uint64_t rendezvousSeed(std::string_view chooser) { return stableHash(chooser); }
+std::uint64_t rendezvousSeed(std::string_view key) { return stableHash(key); }
 
-std::uint64_t rendezvousWeight(std::uint64_t chooserSeed, std::string_view item)
-{
-    return stableHash(item, chooserSeed);
-}
+std::uint64_t rendezvousWeight(std::uint64_t keySeed, std::string_view item) { return stableHash(item, keySeed); }
 
 std::string toString(const instance_id& id) { return id.node + "@" + std::to_string(id.incarnation); }
 
--- a/libs/base/tests/test_base.cpp
+++ b/libs/base/tests/test_base.cpp
@@ -1,4 +1,4 @@
-// Ids, error kinds and hashes.
+// Tests of IDs, error kinds, hashes, the random source and the boot clock.
 #include "base/error_kind.h"
 #include "base/hash.h"
 #include "base/ids.h"
@@ -10,18 +10,17 @@
 
 using namespace tamarack;
 
-TEST_CASE("test_every_refusal_says_when_or_why_not_to_come_back")
+TEST_CASE("test_transient_errors_have_a_retry_delay")
 {
     std::set<std::string_view> types;
     for (const auto& row : errorAnswers()) {
         CHECK(types.insert(row.type).second);
         CHECK(row.status >= 400);
         CHECK_FALSE(row.title.empty());
-        // What has not run and may be asked again is an error of the moment, and says when.
-        const bool isOfTheMoment = row.status == 503 || row.status == 429;
-        CHECK(
-            isOfTheMoment == (row.executed == ran::no && row.status >= 429 && row.status != 431 && row.status != 502));
-        if (isOfTheMoment)
+        // A transient error is one whose request was not executed and may be retried; it must have a retry delay.
+        const bool isTransient = row.status == 503 || row.status == 429;
+        CHECK(isTransient == (row.executed == ran::no && row.status >= 429 && row.status != 431 && row.status != 502));
+        if (isTransient)
             CHECK(row.retryAfter > duration::zero());
     }
 }
@@ -36,7 +35,7 @@
 
 TEST_CASE("test_hashes_are_the_same_on_every_node")
 {
-    // A change here would make two software versions of one deployment disagree about watchers and leases.
+    // If this value changed, two software versions in one deployment would disagree on cache monitors and leases.
     CHECK(stableHash("tamarack") == 0x149e08788765422bULL);
 }
 
@@ -49,10 +48,10 @@
     CHECK(a.unit() < 1);
 }
 
-TEST_CASE("test_decisions_run_on_a_clock_that_no_one_sets")
+TEST_CASE("test_boot_clock_reads_clock_boottime")
 {
-    // Symptom: two lease holders after a clock was set, or a VM was suspended.
-    // Cause: a clock that jumps, or that stands still while the VM sleeps. CLOCK_BOOTTIME does neither.
+    // Guards against two concurrent lease holders after a clock was set or a VM was suspended. This happens with a
+    // clock that jumps, or that stops while the VM is suspended. CLOCK_BOOTTIME does neither.
     const auto read = [] {
         timespec now {};
         clock_gettime(CLOCK_BOOTTIME, &now);
