--- a/apps/tamarackctl/log_command.cpp
+++ b/apps/tamarackctl/log_command.cpp
@@ -34,7 +34,7 @@
     std::vector<std::string> lines;
     if (!readLines(given, 1, lines))
         return exitUsage;
-    const auto story = formatRequestStory(lines, request);
+    const auto story = formatRequestTimeline(lines, request);
     if (story.empty())
         return complain(exitFailed, "no line names request " + request);
     std::cout << story;
--- a/libs/observe/include/observe/log_event.h
+++ b/libs/observe/include/observe/log_event.h
@@ -1,4 +1,4 @@
-// The closed list of what the programs log: each event's name, level, group and fields.
+// Defines every log event of the programs, with its name, level, group and fields.
 #pragma once
 
 #include <cstdint>
@@ -9,12 +9,12 @@
 
 enum class log_level : unsigned char { debug, info, warning, error };
 
-/// Groups have bounds of their own, so that lines on requests that were served never displace the others.
+/// Each group has its own rate limit, so that lines about served requests never displace the others.
 enum class log_group : unsigned char {
-    lifecycle, ///< start, stop, reload, dependencies
-    belief, ///< what the process believes of targets, peers, versions
-    failed, ///< requests that were refused, failed or cut, and attempts that did not succeed
-    served, ///< everything else on requests
+    lifecycle, ///< start, stop, reload, connections to dependencies
+    belief, ///< the local view of targets, peers and configuration versions
+    failed, ///< requests that were refused, failed or truncated, and failed attempts
+    served, ///< all other lines about requests
     count
 };
 
@@ -75,11 +75,12 @@
     std::string_view name;
     log_level level;
     log_group group;
-    std::string_view fields; ///< besides those of every line, for the docs
+    std::string_view fields; ///< fields besides those common to all lines; documentation only
 };
 
-/// The row for `event`. The table is complete and in the order of the enumeration.
+/// Returns the entry for `event`.
 const log_event_info& infoOf(log_event event);
+/// Returns one entry for each event, in the order of the enumeration.
 std::span<const log_event_info> logEvents();
 std::string_view toString(log_group group);
 
--- a/libs/observe/include/observe/log_story.h
+++ b/libs/observe/include/observe/log_story.h
@@ -1,4 +1,5 @@
-// Reads the logs of several nodes: the story of one request, and why requests failed or were late in a span of time.
+// Builds reports from the logs of several nodes: the timeline of one request, and summaries of why requests failed or
+// were late.
 #pragma once
 
 #include <cstdint>
@@ -8,21 +9,23 @@
 
 namespace tamarack {
 
+/// A closed interval of time; by default unbounded.
 struct time_span {
-    std::int64_t from = std::numeric_limits<std::int64_t>::min(); ///< milliseconds since 1970, as in the lines
-    std::int64_t to = std::numeric_limits<std::int64_t>::max();
+    std::int64_t from = std::numeric_limits<std::int64_t>::min(); ///< milliseconds since the Unix epoch, as in `ts_ms`
+    std::int64_t to = std::numeric_limits<std::int64_t>::max(); ///< as `from`
 };
 
-/// The lines that name the request in order of their time, each as one readable line, and between them what the nodes
-/// came to believe of the targets that it was sent to. Empty if no line names it. Bytes before a line's JSON are passed
-/// over.
-std::string formatRequestStory(const std::vector<std::string>& lines, const std::string& requestId);
+/// Formats the log lines of one request in order of time. Includes the changes, on the nodes that handled the request,
+/// to their view of the targets that it was sent to, their configuration, their peers, the log store and their
+/// readiness. Returns an empty text if no line names the request. Bytes before the JSON object of a line are ignored.
+std::string formatRequestTimeline(const std::vector<std::string>& lines, const std::string& requestId);
 
-/// A table of causes, the largest first: what callers were told, for which route, and what the attempts before it met.
+/// Counts failed requests by cause, most frequent first. A cause is the route, the outcome that the caller received and
+/// the failure of the last attempt before it.
 std::string formatFailureSummary(const std::vector<std::string>& lines, const time_span& span);
 
-/// The same for requests that got their whole answer later than their route aims at, or with a pause within it that is
-/// longer: of which route, and for what reason.
+/// Counts late requests by route and cause, most frequent first. A request is late if its answer was complete but its
+/// time to first event, or the longest pause between events, exceeded the latency goal of its route.
 std::string formatLateSummary(const std::vector<std::string>& lines, const time_span& span);
 
 }
--- a/libs/observe/include/observe/logger.h
+++ b/libs/observe/include/observe/logger.h
@@ -1,4 +1,4 @@
-// Structured logs on standard output: one JSON object a line, bounded, and never waiting for whoever reads them.
+// Writes structured logs, one JSON object per line, with a rate limit and without blocking on a slow reader.
 #pragma once
 
 #include "observe/log_event.h"
@@ -12,12 +12,12 @@
 
 namespace tamarack {
 
-/// `info` for an unknown text.
+/// Returns `info` for an unknown level.
 log_level parseLogLevel(std::string_view text);
 
 struct log_field {
     std::string_view key;
-    std::variant<std::int64_t, double, bool, std::string_view> value; ///< text is valid during the call only
+    std::variant<std::int64_t, double, bool, std::string_view> value; ///< text is borrowed for the duration of the call
 
     log_field(std::string_view k, const std::string& v);
     log_field(std::string_view k, std::string_view v);
@@ -33,20 +33,20 @@
 };
 
 struct logger_options {
-    log_level lowest = log_level::info;
+    log_level lowest = log_level::info; ///< events below this level are not logged
     std::string vm;
     std::string instance;
     int descriptor = 1; ///< standard output
-    /// Lines of each group in a second; what is above is counted, and the count is logged.
+    /// Limit of each group, in lines per second. Lines above it are dropped and counted, and the count is logged.
     int linesPerSecond[static_cast<std::size_t>(log_group::count)] = { 100, 300, 300, 300 };
-    /// Kept while the reader is slow; lines beyond are counted and dropped.
+    /// Size of the buffer for a slow reader. Lines that do not fit are dropped and counted.
     std::size_t bufferBytes = 512 * 1024;
-    /// Write each line at once. Else flush() writes them, together.
+    /// Write each line immediately. Otherwise lines are written in batches by flush().
     bool isUnbuffered = true;
 };
 
-/// Goes through Boost.Log to a sink that writes only what the descriptor takes without waiting: a reader that is slow
-/// or gone costs lines, not time. One per process, on one thread.
+/// Logs through Boost.Log to a sink that writes only as much as the descriptor accepts without blocking. A reader that
+/// is slow or gone causes dropped lines, never delays. Use one logger per process, from one thread.
 class logger {
 public:
     explicit logger(logger_options options);
@@ -55,9 +55,9 @@
     logger& operator=(const logger&) = delete;
 
     void write(log_event event, std::initializer_list<log_field> fields = {}) const;
-    /// Writes what the descriptor takes; called from time to time.
+    /// Writes as much of the buffer as the descriptor accepts without blocking. Must be called periodically.
     void flush() const;
-    /// Lines left out so far: above their group's bound, or for lack of buffer.
+    /// Returns the number of lines dropped so far, by the rate limit of a group or because the buffer was full.
     std::uint64_t linesLeftOut() const;
 
 private:
--- a/libs/observe/include/observe/metrics.h
+++ b/libs/observe/include/observe/metrics.h
@@ -1,4 +1,4 @@
-// Prometheus metrics of one process.
+// Provides the Prometheus metrics of one process.
 #pragma once
 
 #include <initializer_list>
@@ -11,8 +11,8 @@
 
 using metric_labels = std::map<std::string, std::string>;
 
-/// A registry of counters, gauges and histograms made on first use. Names and labels are listed in docs/OPERATIONS.md.
-/// Threading: one thread at a time; the caches in front of the registry are not locked.
+/// A registry of counters, gauges and histograms, which are created on first use. Names and labels are listed in
+/// docs/OPERATIONS.md. Not thread-safe: the caches in front of the registry are not locked.
 class metrics {
 public:
     metrics();
@@ -22,11 +22,11 @@
 
     void count(const std::string& name, const metric_labels& labels = {}, double by = 1);
     void set(const std::string& name, double value, const metric_labels& labels = {});
-    /// Seconds, in buckets from 1 ms to 60 s.
+    /// Adds a value in seconds to a histogram with buckets from 1 ms to 60 s.
     void observeSeconds(const std::string& name, double value, const metric_labels& labels = {});
-    /// The value of a counter, 0 if it was never counted.
-    double counted(const std::string& name, const metric_labels& labels = {}) const;
-    /// The Prometheus text format.
+    /// Returns the value of a counter, or 0 if it does not exist.
+    double counterValue(const std::string& name, const metric_labels& labels = {}) const;
+    /// Returns all metrics in the Prometheus text format.
     std::string text() const;
 
 private:
--- a/libs/observe/include/observe/span.h
+++ b/libs/observe/include/observe/span.h
@@ -1,4 +1,5 @@
-// Traces: one span for each hop, W3C trace context between processes, OTLP-shaped JSON lines on disk or in the log.
+// Provides tracing with one span per hop: W3C trace context between processes, and spans as JSON lines with OTLP field
+// names.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +10,7 @@
 
 namespace tamarack {
 
-/// The part of a trace that travels in `traceparent`.
+/// The trace and span id that are propagated in the `traceparent` header.
 struct trace_context {
     std::string traceId; ///< 32 hexadecimal digits
     std::string spanId; ///< 16 hexadecimal digits
@@ -17,7 +18,7 @@
     bool isValid() const { return traceId.size() == 32 && spanId.size() == 16; }
 };
 
-/// An invalid context if the header is not a version 00 `traceparent`.
+/// Returns an invalid context if the header is not a version 00 `traceparent`.
 trace_context parseTraceparent(std::string_view header);
 std::string formatTraceparent(const trace_context& context);
 
@@ -30,16 +31,16 @@
     trace_context context;
     std::string parentSpanId;
     std::string name;
-    std::int64_t startNanoseconds = 0; ///< since 1970
+    std::int64_t startNanoseconds = 0; ///< since the Unix epoch
     std::int64_t endNanoseconds = 0;
     std::vector<span_attribute> attributes;
 };
 
-/// Makes ids for new spans. Seeded, so that tests see the same ids.
+/// Generates ids for new spans. The sequence depends on the seed only, so that tests are reproducible.
 class span_id_source {
 public:
     explicit span_id_source(std::uint64_t seed);
-    /// A child of `parent`, or the root of a new trace if that is invalid.
+    /// Returns the context of a child of `parent`, or of the root of a new trace if `parent` is invalid.
     trace_context child(const trace_context& parent);
 
 private:
@@ -47,7 +48,7 @@
     std::uint64_t m_state;
 };
 
-/// Appends spans to a file as JSON lines; does nothing without a file name.
+/// Appends spans to a file as JSON lines. With an empty file name, spans are discarded.
 class span_writer {
 public:
     span_writer(const std::string& fileName, std::string service);
@@ -58,9 +59,10 @@
     std::string m_service;
 };
 
+/// Returns the system clock's time in nanoseconds since the Unix epoch.
 std::int64_t wallNanoseconds();
 
-/// Prints the spans of one trace as a tree. `lines` are what span_writer wrote, from any number of processes.
+/// Formats the spans of one trace as a tree. `lines` is the output of span_writer, from any number of processes.
 std::string formatTraceTree(const std::vector<std::string>& lines, const std::string& traceId);
 
 }
--- a/libs/observe/src/bounded_output.cpp
+++ b/libs/observe/src/bounded_output.cpp
@@ -1,4 +1,5 @@
-// poll() before each write, and writes so small that a pipe that polls writable takes them whole.
+// Implements the non-blocking output: polls before each write, and writes at most PIPE_BUF bytes, which a pipe that
+// polls as writable accepts without blocking.
 #include "bounded_output.h"
 
 #include <algorithm>
@@ -9,15 +10,15 @@
 
 namespace tamarack::detail {
 
-bounded_output::bounded_output(int descriptor, std::size_t mostBytes)
+bounded_output::bounded_output(int descriptor, std::size_t maxBytes)
     : m_descriptor(descriptor)
-    , m_mostBytes(mostBytes)
+    , m_maxBytes(maxBytes)
 {
 }
 
 void bounded_output::add(std::string_view line)
 {
-    if (m_isClosed || m_pending.size() - m_written + line.size() + 1 > m_mostBytes) {
+    if (m_isClosed || m_pending.size() - m_written + line.size() + 1 > m_maxBytes) {
         ++m_dropped;
         return;
     }
@@ -25,7 +26,7 @@
     m_pending += '\n';
 }
 
-// The descriptor is not made non-blocking: it may be shared with other processes, which would then see short writes.
+// The descriptor is not set to O_NONBLOCK: it may be shared with other processes, which would then see short writes.
 void bounded_output::flush()
 {
     while (m_written < m_pending.size() && !m_isClosed) {
@@ -40,7 +41,7 @@
             break;
         m_written += static_cast<std::size_t>(count);
     }
-    if (m_written < m_pending.size() && m_written < m_mostBytes / 2 && !m_isClosed)
+    if (m_written < m_pending.size() && m_written < m_maxBytes / 2 && !m_isClosed)
         return;
     m_pending.erase(0, m_isClosed ? m_pending.size() : m_written);
     m_written = 0;
--- a/libs/observe/src/cause_table.cpp
+++ b/libs/observe/src/cause_table.cpp
@@ -1,4 +1,4 @@
-// Counts and prints causes.
+// Implements the table of causes.
 #include "cause_table.h"
 
 #include <algorithm>
--- a/libs/observe/src/cause_table.h
+++ b/libs/observe/src/cause_table.h
@@ -1,4 +1,4 @@
-// Requests counted by cause.
+// Counts requests by cause.
 #pragma once
 
 #include <map>
@@ -9,13 +9,13 @@
 class cause_table {
 public:
     void count(const std::string& cause, const std::string& request);
-    /// A line for each cause, the largest first, with the id of one of its requests.
+    /// Returns one line per cause, most frequent first, each with the id of one of its requests.
     std::string format() const;
 
 private:
     struct counted_cause {
         int requests = 0;
-        std::string sample;
+        std::string sample; // id of the request counted last
     };
 
     std::map<std::string, counted_cause> m_causes;
--- a/libs/observe/src/late_summary.cpp
+++ b/libs/observe/src/late_summary.cpp
@@ -1,4 +1,4 @@
-// Which requests were late, and for what reason.
+// Implements the summary of late requests: determines which requests were late, and the cause of each.
 #include "observe/log_story.h"
 
 #include "cause_table.h"
@@ -14,16 +14,16 @@
     using detail::logged_line;
     using detail::parseLog;
 
-    /// One try at a target, as its two lines tell it.
+    /// One attempt at a target, from the log lines of its start and its end.
     struct logged_attempt {
         std::string target;
         std::string stage;
         std::int64_t startedAt = 0;
-        double predicted = 0; ///< milliseconds, as all below
-        double wait = 0;
-        double took = 0; ///< until the stage's answer began
+        double predictedMs = 0;
+        double waitMs = 0;
+        double tookMs = 0; ///< until the first event; until the end for a prefill or an attempt without events
         double work = 0;
-        bool wasLate = false; ///< it was sent as one that cannot be in time
+        bool wasPredictedLate = false; ///< it was sent although it was predicted to miss its latency goal
         bool hasFailed = false;
     };
 
@@ -32,17 +32,17 @@
         std::string route;
         std::int64_t takenAt = 0;
         std::int64_t endedAt = 0;
-        double aim = 0;
-        double gapAim = 0;
-        double first = 0; ///< until the answer began
-        double longestPause = 0;
+        double aimMs = 0;
+        double gapAimMs = 0;
+        double firstMs = 0; ///< until the first event of a stream, or the whole answer
+        double longestPauseMs = 0;
         bool isStream = false;
-        bool isWhole = false;
+        bool isComplete = false;
         std::vector<logged_attempt> attempts;
     };
 
-    /// A prompt that a target read beside its streams.
-    struct reading_span {
+    /// The prefill of one request on a target that also decodes streams.
+    struct prefill_interval {
         std::int64_t from = 0;
         std::int64_t to = 0;
         std::string request;
@@ -50,36 +50,36 @@
 
     using request_table = std::map<std::string, logged_request>;
 
-    void noteStart(logged_request& request, const logged_line& line)
+    void recordAttemptStart(logged_request& request, const logged_line& line)
     {
         logged_attempt attempt;
         attempt.target = line.text("target");
         attempt.stage = line.text("stage");
         attempt.startedAt = line.at;
-        attempt.predicted = line.number("predicted_ms");
-        attempt.wait = line.number("wait_ms");
+        attempt.predictedMs = line.number("predicted_ms");
+        attempt.waitMs = line.number("wait_ms");
         attempt.work = line.number("work");
-        attempt.wasLate = line.text("late") == "true";
+        attempt.wasPredictedLate = line.text("late") == "true";
         request.attempts.push_back(std::move(attempt));
     }
 
-    void noteAttemptEnd(logged_request& request, const logged_line& line)
+    void recordAttemptEnd(logged_request& request, const logged_line& line)
     {
         if (request.attempts.empty())
             return;
         auto& attempt = request.attempts.back();
         attempt.hasFailed = line.is("attempt_failed");
         const bool isPrefill = attempt.stage == "prefill";
-        attempt.took = line.number(isPrefill || line.number("first_ms") < 0 ? "took_ms" : "first_ms");
+        attempt.tookMs = line.number(isPrefill || line.number("first_ms") < 0 ? "took_ms" : "first_ms");
     }
 
-    void noteEnd(logged_request& request, const logged_line& line)
+    void recordRequestEnd(logged_request& request, const logged_line& line)
     {
-        request.isWhole = true;
+        request.isComplete = true;
         request.endedAt = line.at;
         request.isStream = line.number("first_ms") >= 0;
-        request.first = line.number(request.isStream ? "first_ms" : "took_ms");
-        request.longestPause = line.number("longest_pause_ms");
+        request.firstMs = line.number(request.isStream ? "first_ms" : "took_ms");
+        request.longestPauseMs = line.number("longest_pause_ms");
     }
 
     request_table collect(const std::vector<logged_line>& lines, const time_span& span)
@@ -95,28 +95,28 @@
                 request.id = id;
                 request.route = line.text("route");
                 request.takenAt = line.at;
-                request.aim = line.number("aim_ms");
-                request.gapAim = line.number("gap_aim_ms");
+                request.aimMs = line.number("aim_ms");
+                request.gapAimMs = line.number("gap_aim_ms");
             }
             const auto found = out.find(id);
             if (found == out.end())
-                continue; // its beginning is not in the files
+                continue; // its request_taken line is not in the files
             if (line.is("attempt_started"))
-                noteStart(found->second, line);
+                recordAttemptStart(found->second, line);
             if (line.is("attempt_ended") || line.is("attempt_failed"))
-                noteAttemptEnd(found->second, line);
+                recordAttemptEnd(found->second, line);
             if (line.is("request_ended"))
-                noteEnd(found->second, line);
+                recordRequestEnd(found->second, line);
         }
         return out;
     }
 
-    std::map<std::string, std::vector<reading_span>> readingByTarget(const request_table& requests)
+    std::map<std::string, std::vector<prefill_interval>> prefillsByTarget(const request_table& requests)
     {
-        std::map<std::string, std::vector<reading_span>> out;
+        std::map<std::string, std::vector<prefill_interval>> out;
         for (const auto& [id, request] : requests) {
             for (const auto& attempt : request.attempts) {
-                const auto to = attempt.startedAt + static_cast<std::int64_t>(attempt.took);
+                const auto to = attempt.startedAt + static_cast<std::int64_t>(attempt.tookMs);
                 if (attempt.stage == "whole" && attempt.work > 0)
                     out[attempt.target].push_back({ attempt.startedAt, to, id });
             }
@@ -130,43 +130,45 @@
             request.attempts.begin(), request.attempts.end(), [](const auto& attempt) { return attempt.hasFailed; });
     }
 
-    /// Why its answer began late. The first reason that explains half of the delay beyond the aim.
+    /// Returns why the answer of a request began late: the first cause that accounts for at least half of the excess
+    /// over the latency goal.
     std::string firstEventCause(const logged_request& request)
     {
         if (request.attempts.empty())
-            return "no attempt in the files";
-        const double excess = (request.first - request.aim) / 2;
+            return "no attempt in the log files";
+        const double halfExcess = (request.firstMs - request.aimMs) / 2;
         const auto& first = request.attempts.front();
-        if (static_cast<double>(first.startedAt - request.takenAt) >= excess)
+        if (static_cast<double>(first.startedAt - request.takenAt) >= halfExcess)
             return "held by the node before the first attempt";
         if (hasFailedAttempt(request))
-            return "an attempt failed, a further one was needed";
-        if (first.wasLate)
-            return first.wait >= first.predicted / 2 ? "wait that was foretold" : "size of the prompt";
+            return "an attempt failed and another one was needed";
+        if (first.wasPredictedLate)
+            return first.waitMs >= first.predictedMs / 2 ? "predicted wait" : "prompt size";
         const auto& last = request.attempts.back();
-        if (last.stage == "decode" && last.took - last.predicted >= excess)
-            return "import took longer than foretold";
-        if (first.took - first.predicted < excess && request.attempts.size() > 1)
-            return "between the stages, waiting for a place to write";
-        return first.stage + (first.work > 0 ? " reading" : "") + " took longer than foretold";
+        if (last.stage == "decode" && last.tookMs - last.predictedMs >= halfExcess)
+            return "import took longer than predicted";
+        if (first.tookMs - first.predictedMs < halfExcess && request.attempts.size() > 1)
+            return "between the stages, waiting for a decode slot";
+        return first.stage + (first.work > 0 ? " prompt processing" : "") + " took longer than predicted";
     }
 
     std::string pauseCause(
-        const logged_request& request, const std::map<std::string, std::vector<reading_span>>& readings)
+        const logged_request& request, const std::map<std::string, std::vector<prefill_interval>>& prefills)
     {
         if (request.attempts.empty())
-            return "no attempt in the files";
+            return "no attempt in the log files";
         if (hasFailedAttempt(request))
-            return "the stream went on at another target";
-        const auto& writer = request.attempts.back();
-        const auto found = readings.find(writer.target);
-        if (found == readings.end())
-            return "its engine read nothing meanwhile";
-        const auto writesFrom = writer.startedAt + static_cast<std::int64_t>(writer.took);
-        const bool wasReading = std::any_of(found->second.begin(), found->second.end(), [&](const auto& reading) {
-            return reading.request != request.id && reading.from < request.endedAt && reading.to > writesFrom;
+            return "the stream continued on another target";
+        const auto& lastAttempt = request.attempts.back();
+        const auto found = prefills.find(lastAttempt.target);
+        if (found == prefills.end())
+            return "its engine ran no other prefill meanwhile";
+        const auto decodeStart = lastAttempt.startedAt + static_cast<std::int64_t>(lastAttempt.tookMs);
+        const bool wasPrefilling = std::any_of(found->second.begin(), found->second.end(), [&](const auto& prefill) {
+            return prefill.request != request.id && prefill.from < request.endedAt && prefill.to > decodeStart;
         });
-        return wasReading ? "its engine read for others" : "its engine read nothing meanwhile";
+        return wasPrefilling ? "its engine ran prefill for other requests"
+                             : "its engine ran no other prefill meanwhile";
     }
 
 }
@@ -174,22 +176,22 @@
 std::string formatLateSummary(const std::vector<std::string>& lines, const time_span& span)
 {
     const auto requests = collect(parseLog(lines), span);
-    const auto readings = readingByTarget(requests);
+    const auto prefills = prefillsByTarget(requests);
     detail::cause_table causes;
     int answered = 0;
     int late = 0;
     for (const auto& [id, request] : requests) {
-        answered += request.isWhole;
-        const bool beganLate = request.aim > 0 && request.first > request.aim;
-        const bool paused = request.gapAim > 0 && request.longestPause > request.gapAim;
-        if (!request.isWhole || !(beganLate || paused))
+        answered += request.isComplete;
+        const bool beganLate = request.aimMs > 0 && request.firstMs > request.aimMs;
+        const bool hadLongPause = request.gapAimMs > 0 && request.longestPauseMs > request.gapAimMs;
+        if (!request.isComplete || !(beganLate || hadLongPause))
             continue;
         ++late;
         auto cause = request.route + "  ";
         if (beganLate)
             cause += (request.isStream ? "first event: " : "answer: ") + firstEventCause(request);
         else
-            cause += "pause: " + pauseCause(request, readings);
+            cause += "pause: " + pauseCause(request, prefills);
         causes.count(cause, id);
     }
     return std::to_string(late) + " of " + std::to_string(answered) + " whole answers were late\n" + causes.format();
--- a/libs/observe/src/log_event.cpp
+++ b/libs/observe/src/log_event.cpp
@@ -1,4 +1,4 @@
-// The table of events.
+// Defines the table of log events.
 #include "observe/log_event.h"
 
 #include <array>
@@ -43,8 +43,8 @@
         { log_event::target_returned, "target_returned", info, belief, "target" },
         { log_event::cache_view_restarted, "cache_view_restarted", info, belief, "target restarted gap" },
         { log_event::caches_told, "caches_told", info, belief,
-            "parts answered complete (of a peer: the parts that it knows engines to keep, and whether that is all "
-            "there is to know)" },
+            "parts answered complete (of a peer: the prompt parts that it knows to be cached by engines, and whether "
+            "its view is complete)" },
         { log_event::cache_not_released, "cache_not_released", debug, belief, "reason" },
         { log_event::alarm_raised, "alarm_raised", warning, lifecycle, "alarm detail" },
         { log_event::alarm_cleared, "alarm_cleared", info, lifecycle, "alarm" },
@@ -80,7 +80,7 @@
         }
         return true;
     }
-    static_assert(isComplete(), "every event has its row, in the order of the enumeration");
+    static_assert(isComplete(), "the table must have one row per event, in the order of the enumeration");
 
 }
 
--- a/libs/observe/src/log_story.cpp
+++ b/libs/observe/src/log_story.cpp
@@ -1,4 +1,4 @@
-// Log lines, selected, ordered and counted.
+// Implements the timeline of a request and the summary of failures.
 #include "observe/log_story.h"
 
 #include "cause_table.h"
@@ -16,8 +16,9 @@
     using detail::logged_line;
     using detail::parseLog;
 
-    /// What the nodes believed this long before a request began may have decided it.
-    constexpr std::int64_t beliefMilliseconds = 3000;
+    /// State changes within this time before the first line of a request are part of its timeline: they may have
+    /// determined how it was handled.
+    constexpr std::int64_t contextMilliseconds = 3000;
 
     std::string describe(const logged_line& line, std::int64_t start)
     {
@@ -32,7 +33,7 @@
         return out + "\n";
     }
 
-    bool isBelief(const logged_line& line)
+    bool isStateChange(const logged_line& line)
     {
         static const std::set<std::string> events { "target_listed", "target_gone", "targets_changed", "target_blocked",
             "target_returned", "configuration_in_force", "store_lost", "store_reached", "peer_lost", "peers_lost",
@@ -40,7 +41,7 @@
         return events.contains(line.text("event"));
     }
 
-    /// What the last failed attempt of each request met.
+    /// The cause of the last failed attempt, by request id.
     using attempt_causes = std::map<std::string, std::string>;
 
     std::string causeOf(const logged_line& attempt)
@@ -55,7 +56,7 @@
 
 }
 
-std::string formatRequestStory(const std::vector<std::string>& lines, const std::string& requestId)
+std::string formatRequestTimeline(const std::vector<std::string>& lines, const std::string& requestId)
 {
     const auto all = parseLog(lines);
     std::set<std::string> targets;
@@ -74,12 +75,12 @@
         return {};
     std::string out;
     for (const auto& line : all) {
-        const bool isOwn = line.text("request") == requestId;
-        const bool isNear = line.at >= first - beliefMilliseconds && line.at <= last;
+        const bool namesRequest = line.text("request") == requestId;
+        const bool isInWindow = line.at >= first - contextMilliseconds && line.at <= last;
         const auto target = line.text("target");
-        const bool isContext = isNear && isBelief(line) && nodes.contains(line.text("vm"))
+        const bool isContext = isInWindow && isStateChange(line) && nodes.contains(line.text("vm"))
             && (target.empty() || targets.contains(target));
-        if (isOwn || isContext)
+        if (namesRequest || isContext)
             out += describe(line, first);
     }
     return out;
@@ -115,9 +116,9 @@
         causes.count(cause, id);
     }
     std::string out
-        = std::to_string(failed) + " of " + std::to_string(taken) + " requests did not get a target's answer\n";
+        = std::to_string(failed) + " of " + std::to_string(taken) + " requests did not get an answer from a target\n";
     if (leftOut > 0)
-        out += std::to_string(leftOut) + " lines were left out by the nodes\n";
+        out += std::to_string(leftOut) + " lines were dropped by the nodes\n";
     return out + causes.format();
 }
 
--- a/libs/observe/src/logged_line.cpp
+++ b/libs/observe/src/logged_line.cpp
@@ -1,4 +1,4 @@
-// Reads lines.
+// Parses log lines.
 #include "logged_line.h"
 
 #include <algorithm>
--- a/libs/observe/src/logged_line.h
+++ b/libs/observe/src/logged_line.h
@@ -1,4 +1,4 @@
-// Lines of the nodes' logs, read for the reports on requests.
+// Parses the log lines of nodes for the reports on requests.
 #pragma once
 
 #include <cstdint>
@@ -8,18 +8,20 @@
 
 namespace tamarack::detail {
 
+/// One parsed line of a node's log.
 struct logged_line {
-    std::int64_t at = 0; ///< milliseconds since 1970
+    std::int64_t at = 0; ///< milliseconds since the Unix epoch
     nlohmann::ordered_json fields;
 
-    /// Empty if the line has no such field.
+    /// Returns an empty text if the line has no such field.
     std::string text(const char* name) const;
-    /// 0 if the line has no such field, or one that is not a number.
+    /// Returns 0 if the line has no such field or the field is not a number.
     double number(const char* name) const;
     bool is(const char* event) const { return text("event") == event; }
 };
 
-/// The lines that are a node's, in order of their time. Bytes before a line's JSON are passed over.
+/// Returns the lines that are log lines of a node, in order of time. Bytes before the JSON object of a line are
+/// ignored.
 std::vector<logged_line> parseLog(const std::vector<std::string>& lines);
 
 }
--- a/libs/observe/src/logger.cpp
+++ b/libs/observe/src/logger.cpp
@@ -1,4 +1,5 @@
-// Boost.Log with a formatter that prints the message alone, the message being the JSON line, and a sink of our own.
+// Implements the logger on Boost.Log: the message of each record is the complete JSON line, and the formatter prints
+// nothing else.
 #include "observe/logger.h"
 
 #include "bounded_output.h"
@@ -20,7 +21,7 @@
 namespace {
 
     constexpr std::array<std::string_view, 4> levelNames { "debug", "info", "warning", "error" };
-    constexpr auto bucketSpan = std::chrono::seconds(1);
+    constexpr auto rateWindowLength = std::chrono::seconds(1);
 
     class output_backend
         : public boost::log::sinks::basic_formatted_sink_backend<char, boost::log::sinks::concurrent_feeding> {
@@ -122,43 +123,43 @@
 }
 
 struct logger::state {
-    explicit state(logger_options given)
-        : options(std::move(given))
+    explicit state(logger_options initial)
+        : options(std::move(initial))
         , output(options.descriptor, options.bufferBytes)
     {
     }
 
-    /// Lines of one group in the present second.
-    struct bucket {
+    /// Lines of one group in the current second.
+    struct rate_window {
         instant begin;
         int lines = 0;
-        std::uint64_t leftOut = 0; // since the last line that told so
+        std::uint64_t leftOut = 0; // since the last `lines_left_out` line
     };
 
-    bool mayWrite(log_group group, instant now);
-    void tellLeftOut(instant now);
+    bool tryAdmitLine(log_group group, instant now);
+    void logLeftOutLines(instant now);
     void emit(const log_event_info& info, std::initializer_list<log_field> fields);
 
     logger_options options;
     detail::bounded_output output;
     boost::shared_ptr<sink_type> sink;
     boost::log::sources::severity_logger<int> source;
-    std::array<bucket, static_cast<std::size_t>(log_group::count)> buckets;
+    std::array<rate_window, static_cast<std::size_t>(log_group::count)> rateWindows;
     std::uint64_t leftOut = 0;
 };
 
-bool logger::state::mayWrite(log_group group, instant now)
+bool logger::state::tryAdmitLine(log_group group, instant now)
 {
-    auto& counted = buckets[static_cast<std::size_t>(group)];
-    if (now >= counted.begin + bucketSpan) {
-        counted.begin = now;
-        counted.lines = 0;
+    auto& window = rateWindows[static_cast<std::size_t>(group)];
+    if (now >= window.begin + rateWindowLength) {
+        window.begin = now;
+        window.lines = 0;
     }
-    if (counted.lines < options.linesPerSecond[static_cast<std::size_t>(group)]) {
-        ++counted.lines;
+    if (window.lines < options.linesPerSecond[static_cast<std::size_t>(group)]) {
+        ++window.lines;
         return true;
     }
-    ++counted.leftOut;
+    ++window.leftOut;
     ++leftOut;
     return false;
 }
@@ -183,15 +184,15 @@
         output.flush();
 }
 
-void logger::state::tellLeftOut(instant now)
+void logger::state::logLeftOutLines(instant now)
 {
-    for (std::size_t group = 0; group < buckets.size(); ++group) {
-        auto& counted = buckets[group];
-        if (counted.leftOut == 0 || now < counted.begin + bucketSpan)
+    for (std::size_t group = 0; group < rateWindows.size(); ++group) {
+        auto& window = rateWindows[group];
+        if (window.leftOut == 0 || now < window.begin + rateWindowLength)
             continue;
         emit(infoOf(log_event::lines_left_out),
-            { { "group", toString(static_cast<log_group>(group)) }, { "lines", counted.leftOut } });
-        counted.leftOut = 0;
+            { { "group", toString(static_cast<log_group>(group)) }, { "lines", window.leftOut } });
+        window.leftOut = 0;
     }
 }
 
@@ -215,14 +216,14 @@
     if (info.level < m_state->options.lowest)
         return;
     const auto now = boot_clock::now();
-    m_state->tellLeftOut(now);
-    if (m_state->mayWrite(info.group, now))
+    m_state->logLeftOutLines(now);
+    if (m_state->tryAdmitLine(info.group, now))
         m_state->emit(info, fields);
 }
 
 void logger::flush() const
 {
-    m_state->tellLeftOut(boot_clock::now());
+    m_state->logLeftOutLines(boot_clock::now());
     m_state->output.flush();
 }
 
--- a/libs/observe/src/metrics.cpp
+++ b/libs/observe/src/metrics.cpp
@@ -1,4 +1,4 @@
-// A thin cover over prometheus-cpp's registry.
+// Implements the metrics on the registry of prometheus-cpp.
 #include "observe/metrics.h"
 
 #include <prometheus/counter.h>
@@ -54,7 +54,7 @@
     histogram->Observe(value);
 }
 
-double metrics::counted(const std::string& name, const metric_labels& labels) const
+double metrics::counterValue(const std::string& name, const metric_labels& labels) const
 {
     const auto found = m_state->counters.find({ name, labels });
     return found == m_state->counters.end() ? 0 : found->second->Value();
--- a/libs/observe/src/span.cpp
+++ b/libs/observe/src/span.cpp
@@ -1,4 +1,4 @@
-// Trace ids, and the span writer.
+// Implements span ids, the `traceparent` header and the span writer.
 #include "observe/span.h"
 
 #include <chrono>
@@ -44,7 +44,7 @@
 
 std::uint64_t span_id_source::next()
 {
-    // splitmix64: distinct for 2^64 calls, which is all an id needs.
+    // splitmix64: values are distinct for 2^64 calls, which is sufficient for ids.
     m_state += 0x9e3779b97f4a7c15ULL;
     std::uint64_t z = m_state;
     z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9ULL;
--- a/libs/observe/src/trace_tree.cpp
+++ b/libs/observe/src/trace_tree.cpp
@@ -1,4 +1,4 @@
-// Puts the spans of one trace back together.
+// Reassembles the spans of one trace into a tree.
 #include "observe/span.h"
 
 #include <algorithm>
@@ -12,7 +12,7 @@
 
     using nlohmann::json;
 
-    void printBelow(const std::vector<json>& spans, const std::string& parent, int depth, std::string& out)
+    void appendSubtree(const std::vector<json>& spans, const std::string& parent, int depth, std::string& out)
     {
         for (const auto& item : spans) {
             if (item.value("parentSpanId", "") != parent)
@@ -28,7 +28,7 @@
                     out += "  " + key + "=" + (value.is_string() ? value.get<std::string>() : value.dump());
             }
             out += "\n";
-            printBelow(spans, item.value("spanId", ""), depth + 1, out);
+            appendSubtree(spans, item.value("spanId", ""), depth + 1, out);
         }
     }
 
@@ -37,23 +37,23 @@
 std::string formatTraceTree(const std::vector<std::string>& lines, const std::string& traceId)
 {
     std::vector<json> spans;
-    std::set<std::string> known;
+    std::set<std::string> spanIds;
     for (const auto& line : lines) {
         auto item = json::parse(line, nullptr, false);
         if (!item.is_object() || item.value("traceId", "") != traceId)
             continue;
-        known.insert(item.value("spanId", ""));
+        spanIds.insert(item.value("spanId", ""));
         spans.push_back(std::move(item));
     }
     for (auto& item : spans) {
-        if (!known.contains(item.value("parentSpanId", "")))
-            item["parentSpanId"] = ""; // its parent was not recorded here: show it as a root
+        if (!spanIds.contains(item.value("parentSpanId", "")))
+            item["parentSpanId"] = ""; // its parent is not in `lines`: show it as a root
     }
     std::sort(spans.begin(), spans.end(), [](const json& a, const json& b) {
         return a.value("startTimeUnixNano", std::int64_t(0)) < b.value("startTimeUnixNano", std::int64_t(0));
     });
     std::string out;
-    printBelow(spans, "", 0, out);
+    appendSubtree(spans, "", 0, out);
     return out;
 }
 
--- a/libs/observe/tests/test_log_story.cpp
+++ b/libs/observe/tests/test_log_story.cpp
@@ -1,4 +1,4 @@
-// From a request's id to its cause.
+// Tests of the reports on requests: the timeline, and the summaries of failed and late requests.
 #include "observe/log_story.h"
 
 #include <catch2/catch.hpp>
@@ -21,16 +21,16 @@
 
 }
 
-TEST_CASE("test_story_of_a_request_is_in_order_and_has_what_decided_it")
+TEST_CASE("test_request_timeline_is_in_order_and_includes_relevant_state_changes")
 {
-    const auto story = formatRequestStory(lines, "r1");
-    CHECK(story.find("target_blocked") < story.find("request_taken"));
-    CHECK(story.find("request_taken") < story.find("attempt_failed"));
-    CHECK(story.find("attempt_failed") < story.find("request_refused"));
-    CHECK(story.find("result=broken") != std::string::npos);
-    CHECK(story.find("t9") == std::string::npos);
-    CHECK(story.find("r2") == std::string::npos);
-    CHECK(formatRequestStory(lines, "nobody").empty());
+    const auto timeline = formatRequestTimeline(lines, "r1");
+    CHECK(timeline.find("target_blocked") < timeline.find("request_taken"));
+    CHECK(timeline.find("request_taken") < timeline.find("attempt_failed"));
+    CHECK(timeline.find("attempt_failed") < timeline.find("request_refused"));
+    CHECK(timeline.find("result=broken") != std::string::npos);
+    CHECK(timeline.find("t9") == std::string::npos);
+    CHECK(timeline.find("r2") == std::string::npos);
+    CHECK(formatRequestTimeline(lines, "nobody").empty());
 }
 
 TEST_CASE("test_failures_are_counted_by_cause_the_largest_first")
@@ -77,8 +77,10 @@
             attemptEnded("queued-2", 5900, "decode", 12, 499), ended("queued-2", 5900, 412, 60) },
         {});
     CHECK(summary.starts_with("4 of 5 whole answers were late"));
-    CHECK(summary.find("2  note  first event: prefill reading took longer than foretold") < summary.find("1  note"));
+    CHECK(summary.find("2  note  first event: prefill prompt processing took longer than predicted")
+        < summary.find("1  note"));
     CHECK(summary.find("1  note  first event: held by the node before the first attempt  (such as held)")
         != std::string::npos);
-    CHECK(summary.find("1  note  pause: its engine read for others  (such as paused)") != std::string::npos);
+    CHECK(summary.find("1  note  pause: its engine ran prefill for other requests  (such as paused)")
+        != std::string::npos);
 }
--- a/libs/observe/tests/test_logger.cpp
+++ b/libs/observe/tests/test_logger.cpp
@@ -1,4 +1,4 @@
-// Logs: well-formed, bounded, and never in the way.
+// Tests of the logger: lines are well-formed, limited in number, and never block the process.
 #include "observe/logger.h"
 
 #include <array>
@@ -80,18 +80,17 @@
     CHECK(lines[0]["topic"].get<std::string>().starts_with("a \"quoted\"\nname"));
 }
 
-TEST_CASE("test_reader_that_does_not_read_costs_lines_and_no_time")
+TEST_CASE("test_stalled_reader_causes_dropped_lines_and_no_blocking")
 {
-    // Symptom: requests time out while somebody looks at the log.
-    // Sequence: the reader of standard output stops reading; its pipe fills up.
-    // Cause: a write that waits for the reader.
+    // Guards against requests that time out because a log write blocks: the reader of standard output stops reading,
+    // its pipe fills up, and the write waits for the reader.
     pipe_pair pipe;
     auto options = optionsFor(pipe.ends[1]);
     options.bufferBytes = 100'000;
     for (auto& bound : options.linesPerSecond)
         bound = 1'000'000;
     const logger log(options);
-    for (int i = 0; i < 20'000; ++i) // a write that waits would never return
+    for (int i = 0; i < 20'000; ++i) // a blocking write would never return
         log.write(log_event::request_ended, { { "request", "0123456789abcdef" } });
     CHECK(log.linesLeftOut() > 10'000);
     std::string text;
@@ -113,11 +112,10 @@
     pipe.ends[0] = dup(pipe.ends[1]);
 }
 
-TEST_CASE("test_flood_of_one_group_leaves_the_others_their_lines")
+TEST_CASE("test_flood_of_one_group_does_not_drop_lines_of_the_others")
 {
-    // Symptom: the line that says why a request failed is missing.
-    // Sequence: thousands of requests are served, and some refused, in one second.
-    // Cause: one bound for all lines.
+    // Guards against losing the line that says why a request failed: with one limit for all lines, thousands of
+    // served requests in one second use it up, and the lines of refused requests are dropped.
     pipe_pair pipe;
     auto options = optionsFor(pipe.ends[1]);
     options.isUnbuffered = false;
@@ -128,18 +126,18 @@
         log.write(log_event::request_refused, { { "request", i } });
     log.write(log_event::store_lost);
     log.flush();
-    int served = 0;
-    int refused = 0;
-    int lost = 0;
+    int servedLines = 0;
+    int refusedLines = 0;
+    int lostLines = 0;
     for (const auto& line : linesOf(pipe.readAll())) {
-        served += line["event"] == "request_ended";
-        refused += line["event"] == "request_refused";
-        lost += line["event"] == "store_lost";
+        servedLines += line["event"] == "request_ended";
+        refusedLines += line["event"] == "request_refused";
+        lostLines += line["event"] == "store_lost";
     }
-    CHECK(served < 5'000);
-    CHECK(served >= 300);
-    CHECK(refused == 50);
-    CHECK(lost == 1);
+    CHECK(servedLines < 5'000);
+    CHECK(servedLines >= 300);
+    CHECK(refusedLines == 50);
+    CHECK(lostLines == 1);
     CHECK(log.linesLeftOut() >= 4'000);
 }
 
--- a/libs/observe/tests/test_observe.cpp
+++ b/libs/observe/tests/test_observe.cpp
@@ -1,4 +1,4 @@
-// Traces and metrics.
+// Tests of traces and metrics.
 #include "observe/metrics.h"
 #include "observe/span.h"
 
@@ -46,7 +46,7 @@
     counters.count("tamarack_x_total", { { "kind", "a" } });
     counters.set("tamarack_y", 4);
     counters.observeSeconds("tamarack_z_seconds", 0.004);
-    CHECK(counters.counted("tamarack_x_total", { { "kind", "a" } }) == 3);
+    CHECK(counters.counterValue("tamarack_x_total", { { "kind", "a" } }) == 3);
     const auto text = counters.text();
     CHECK(text.find("tamarack_x_total{kind=\"a\"} 3") != std::string::npos);
     CHECK(text.find("tamarack_z_seconds_bucket") != std::string::npos);
--- a/libs/settings/include/settings/setting_error.h
+++ b/libs/settings/include/settings/setting_error.h
@@ -1,4 +1,4 @@
-// What is wrong with one field of a settings file.
+// Defines the error that is reported for one field of a settings file.
 #pragma once
 
 #include <string>
@@ -8,14 +8,14 @@
 
 struct setting_error {
     std::string file;
-    int line = 0; ///< 1 for the first line; 0 when the text has no such line
-    std::string field; ///< dotted path, as `services[2].targets[0].address`
+    int line = 0; ///< first line is 1; 0 if the error has no line
+    std::string field; ///< dotted path, such as `services[2].targets[0].address`
     std::string message;
 };
 
 using setting_errors = std::vector<setting_error>;
 
-/// `file:line: field: message`.
+/// Formats an error as `file:line: field: message`; a line of 0 and an empty field are omitted.
 std::string toString(const setting_error& error);
 
 }
--- a/libs/settings/src/deployment.cpp
+++ b/libs/settings/src/deployment.cpp
@@ -1,4 +1,4 @@
-// Look-ups in a deployment.
+// Implements the role names and the lookups in a deployment.
 #include "settings/deployment.h"
 
 #include <array>
--- a/libs/settings/src/deployment_reader.cpp
+++ b/libs/settings/src/deployment_reader.cpp
@@ -1,4 +1,4 @@
-// Reads the operators' text and checks it, field by field and across fields.
+// Parses the deployment file and validates it, field by field and across fields.
 #include "field_table.h"
 #include "settings/deployment.h"
 
@@ -71,12 +71,12 @@
     void readRoutes(json_document& document, const json& list, const std::string& path, service_entry& service)
     {
         if (!list.is_array())
-            return document.addError(path, "must be a list of strings as \"POST /reports\"");
+            return document.addError(path, "must be a list of strings such as \"POST /reports\"");
         for (std::size_t i = 0; i < list.size(); ++i) {
             const auto text = list[i].is_string() ? list[i].get<std::string>() : std::string();
             const auto blank = text.find(" /");
             if (blank == std::string::npos || blank == 0) {
-                document.addError(indexField(path, i), "must be a method and a path, as \"POST /reports\"");
+                document.addError(indexField(path, i), "must be a method and a path, such as \"POST /reports\"");
                 continue;
             }
             service.nonIdempotent.push_back({ text.substr(0, blank), text.substr(blank + 1) });
@@ -138,7 +138,7 @@
             const auto colon = address.rfind(':');
             const bool isNumeric = address.find_first_not_of("0123456789.abcdefABCDEF:[]") == std::string::npos;
             if (!address.empty() && (colon == std::string::npos || colon + 1 == address.size() || !isNumeric))
-                document.addError(joinField(at, "address"), "must be an IP number and a port, as 10.0.0.1:9000");
+                document.addError(joinField(at, "address"), "must be an IP address and a port, such as 10.0.0.1:9000");
             if (std::find(zones.begin(), zones.end(), targets[i].availabilityZone) == zones.end())
                 document.addError(joinField(at, "availability_zone"), "is not among availability_zones");
         }
@@ -152,20 +152,21 @@
             document.addError(joinField(path, "targets"), "must name at least one target");
         for (std::size_t i = 0; i < service.dependsOn.size(); ++i) {
             if (read.serviceIndex(service.dependsOn[i]) < 0)
-                document.addError(indexField(joinField(path, "depends_on"), i), "names no service of this text");
+                document.addError(indexField(joinField(path, "depends_on"), i), "names no service of this deployment");
         }
         if (service.isEngine() && service.model.empty())
             document.addError(joinField(path, "model"), "is missing; an engine serves a model");
         if (service.isEngine() && !service.nonIdempotent.empty())
             document.addError(joinField(path, "non_idempotent"), "is for plain services only");
-        const int split = service.prefillTargets + service.decodeTargets;
-        if (split > static_cast<int>(service.targets.size()))
-            document.addError(joinField(path, "prefill_targets"), "with decode_targets exceeds the targets");
+        const int dedicatedTargets = service.prefillTargets + service.decodeTargets;
+        if (dedicatedTargets > static_cast<int>(service.targets.size()))
+            document.addError(
+                joinField(path, "prefill_targets"), "together with decode_targets exceeds the number of targets");
         if ((service.prefillTargets > 0) != (service.decodeTargets > 0))
             document.addError(joinField(path, "prefill_targets"), "and decode_targets must both be above 0, or both 0");
     }
 
-    void checkAcross(json_document& document, const deployment& read)
+    void checkFieldCombinations(json_document& document, const deployment& read)
     {
         std::set<std::string> serviceNames, targetNames, addresses;
         if (read.services.empty())
@@ -205,7 +206,7 @@
             const auto& services = root["services"];
             for (std::size_t i = 0; i < services.size(); ++i)
                 readService(document, services[i], indexField("services", i), read);
-            checkAcross(document, read);
+            checkFieldCombinations(document, read);
         }
     }
     if (!document.errors().empty())
--- a/libs/settings/src/field_table.h
+++ b/libs/settings/src/field_table.h
@@ -1,5 +1,5 @@
-// Reads an object's fields by a table of member pointers, and reports what is missing, mistyped, out of range or
-// unknown.
+// Reads the fields of a JSON object by a table of member pointers, and reports fields that are missing, of the wrong
+// type, out of range or unknown.
 #pragma once
 
 #include "base/clock.h"
@@ -14,7 +14,8 @@
 
 namespace tamarack::detail {
 
-/// One field: its name, where it goes, whether it must be there, and its range (numbers and durations in seconds).
+/// Describes one field: its name, the member it is stored in, whether it is required, and its range. The range applies
+/// to numbers, and to durations in seconds.
 template <class T> struct field {
     using member = std::variant<int T::*, double T::*, bool T::*, duration T::*, std::string T::*,
         std::vector<std::string> T::*>;
@@ -26,7 +27,7 @@
     double highest = std::numeric_limits<double>::max();
 };
 
-/// Reads one value into one member; the visitor of field_reader.
+/// Visitor that checks one JSON value and stores it in the member of a field.
 template <class T> struct member_writer {
     json_document& document;
     const field<T>& spec;
@@ -89,7 +90,7 @@
     }
 };
 
-/// Reads `object` into `target`; names in `others` are read by the caller.
+/// Reads the fields of `object` into `target`. Fields named in `others` are accepted but not read.
 template <class T>
 void readFields(json_document& document, const json& object, const std::string& parent, T& target,
     std::span<const field<T>> fields, std::initializer_list<std::string_view> others = {})
--- a/libs/settings/src/json_document.cpp
+++ b/libs/settings/src/json_document.cpp
@@ -1,4 +1,4 @@
-// Parses with nlohmann/json; a counting iterator tells the line of each key.
+// Implements the document on nlohmann/json; a counting iterator provides the line of each key.
 #include "json_document.h"
 
 #include <algorithm>
@@ -29,7 +29,8 @@
 
     namespace {
 
-        /// Walks the text and counts lines; the parser reads at most one byte ahead.
+        /// Iterates over the text and counts lines. The count is accurate because the parser reads at most one byte
+        /// ahead.
         struct counting_iterator {
             using iterator_category = std::input_iterator_tag;
             using value_type = char;
@@ -52,7 +53,7 @@
             bool operator!=(const counting_iterator& other) const { return at != other.at; }
         };
 
-        /// Notes the line of each key and array element.
+        /// Records the line of each key and array element.
         class line_indexer : public nlohmann::json_sax<json> {
         public:
             line_indexer(std::map<std::string, int>& lines, const int& line)
--- a/libs/settings/src/node_settings.cpp
+++ b/libs/settings/src/node_settings.cpp
@@ -1,4 +1,4 @@
-// The table of a node's settings, and the checks that span fields.
+// Implements the reading of node settings: the table of fields, and the checks across fields.
 #include "settings/node_settings.h"
 
 #include "field_table.h"
@@ -38,15 +38,15 @@
         { "max_requests", &s::maxRequests, false, 1, 1'000'000 },
     } };
 
-    bool isIpNumber(const std::string& text)
+    bool isIpAddress(const std::string& text)
     {
         return !text.empty() && text.find_first_not_of("0123456789.abcdefABCDEF:") == std::string::npos;
     }
 
-    void checkAcross(detail::json_document& document, const s& read)
+    void checkFieldCombinations(detail::json_document& document, const s& read)
     {
-        if (!read.address.empty() && !isIpNumber(read.address))
-            document.addError("address", "must be an IP number; names are not resolved");
+        if (!read.address.empty() && !isIpAddress(read.address))
+            document.addError("address", "must be an IP address; host names are not resolved");
         const std::array<std::pair<const char*, int>, 3> ports { { { "caller_port", read.callerPort },
             { "peer_port", read.peerPort }, { "admin_port", read.adminPort } } };
         for (std::size_t i = 1; i < ports.size(); ++i) {
@@ -72,7 +72,7 @@
     node_settings read;
     if (document.isParsed()) {
         detail::readFields<s>(document, document.root(), "", read, fields);
-        checkAcross(document, read);
+        checkFieldCombinations(document, read);
     }
     if (!document.errors().empty())
         return document.errors();
--- a/libs/settings/tests/test_settings.cpp
+++ b/libs/settings/tests/test_settings.cpp
@@ -1,4 +1,4 @@
-// Settings: every error is found, with its file, line and field.
+// Tests that the readers of settings report every error with its file, line and field.
 #include "settings/deployment.h"
 #include "settings/node_settings.h"
 
@@ -72,7 +72,7 @@
     REQUIRE(std::holds_alternative<setting_errors>(read));
     const auto& errors = std::get<setting_errors>(read);
     CHECK(has(errors, "vm", "must be a string", 3));
-    CHECK(has(errors, "address", "IP number", 6));
+    CHECK(has(errors, "address", "IP address", 6));
     CHECK(has(errors, "caller_port", "at most 65535", 7));
     CHECK(has(errors, "admin_port", "differ from peer_port", 9));
     CHECK(has(errors, "vm_list_address", "is missing"));
@@ -104,7 +104,7 @@
         { "\"depends_on\": [\"teren\"]", "\"depends_on\": [\"nobody\"]", "services[0].depends_on[0]", "no service" },
         { "\"depends_on\": [\"teren\"]", "\"depends_on\": [\"jazyk\"]", "services", "cycle among jazyk" },
         { "\"name\": \"jazyk-02\"", "\"name\": \"jazyk-01\"", "services[0].targets[1].name", "another target" },
-        { "10.20.1.20:9000", "10.20.1.20", "services[0].targets[0].address", "IP number and a port" },
+        { "10.20.1.20:9000", "10.20.1.20", "services[0].targets[0].address", "IP address and a port" },
         { "\"model\": \"jazyk-sumar\",", "", "services[0].model", "is missing" },
         { "\"kind\": \"plain\"", "\"kind\": \"odd\"", "services[1].kind", "engine" },
         { "\"prefill_targets\": 2", "\"prefill_targets\": 40", "services[0].prefill_targets", "exceeds" },
