--- a/apps/tamarackctl/log_command.cpp
+++ b/apps/tamarackctl/log_command.cpp
@@ -35,7 +35,7 @@
     std::vector<std::string> lines;
     if (!readLines(args, 1, lines))
         return exitUsage;
-    const auto story = formatRequestStory(lines, request);
+    const auto story = formatRequestTimeline(lines, request);
     if (story.empty())
         return reportError(exitFailed, "no log line mentions request " + request);
     std::cout << story;
