--- a/tools/lab/caller_mix.cpp
+++ b/tools/lab/caller_mix.cpp
@@ -1,4 +1,4 @@
-// Calls of the mix.
+// Implements the caller mix: draws requests, sends them on a timer and records the results.
 #include "caller_mix.h"
 
 #include <algorithm>
@@ -47,9 +47,9 @@
 harness::call_spec caller_mix::nextCall()
 {
     harness::call_spec spec;
-    const double dice = m_random.unit();
+    const double draw = m_random.unit();
     const auto number = std::to_string(m_random.next());
-    if (dice < 0.15) {
+    if (draw < 0.15) {
         spec.kind = call_kind::plain;
         spec.model = m_settings.service;
         spec.path = "/valves";
@@ -58,7 +58,7 @@
         spec.patience = 10;
         return spec;
     }
-    if (dice < 0.35) {
+    if (draw < 0.35) {
         spec.kind = call_kind::non_idempotent;
         spec.model = m_settings.service;
         spec.path = m_settings.keyedPath;
@@ -69,10 +69,10 @@
     spec.kind = call_kind::completion;
     spec.model = m_settings.model;
     const bool isUrgent = m_random.unit() < 0.2;
-    const double at = seconds(boot_clock::now() - m_startedAt);
-    const double swing = 0.5 + 0.5 * std::sin(2 * 3.14159265 * at / m_settings.swingSeconds);
-    const double promptTokens = isUrgent ? 100 : 500 + swing * 7000 * m_random.unit();
-    spec.maxTokens = isUrgent ? 16 : static_cast<int>(20 + (1 - swing) * 200 * m_random.unit());
+    const double elapsedSeconds = seconds(boot_clock::now() - m_startedAt);
+    const double longPromptShare = 0.5 + 0.5 * std::sin(2 * 3.14159265 * elapsedSeconds / m_settings.periodSeconds);
+    const double promptTokens = isUrgent ? 100 : 500 + longPromptShare * 7000 * m_random.unit();
+    spec.maxTokens = isUrgent ? 16 : static_cast<int>(20 + (1 - longPromptShare) * 200 * m_random.unit());
     spec.prompt = "history " + std::to_string(m_random.below(20)) + " ";
     while (spec.prompt.size() < 2000)
         spec.prompt += spec.prompt;
@@ -90,19 +90,19 @@
         return m_timer.stop();
     const auto spec = nextCall();
     ++m_result.sent;
-    m_caller.send(spec, [this, spec](const harness::call_result& result) { note(spec, result); });
+    m_caller.send(spec, [this, spec](const harness::call_result& result) { recordResult(spec, result); });
 }
 
-void caller_mix::note(const harness::call_spec& spec, const harness::call_result& result)
+void caller_mix::recordResult(const harness::call_spec& spec, const harness::call_result& result)
 {
     ++m_result.ends[static_cast<std::size_t>(result.end)];
     m_result.retries += std::max(0, result.tries - 1);
     m_result.resumes += result.resumes;
     const bool isWhole = result.end == call_end::whole;
     m_result.goodput += isWhole && result.totalSeconds <= spec.patience;
-    m_result.keyedWhole += isWhole && spec.kind == call_kind::non_idempotent;
+    m_result.completedKeyed += isWhole && spec.kind == call_kind::non_idempotent;
     if (!isWhole) {
-        ++m_result.wrongDetails[result.detail];
+        ++m_result.failureDetails[result.detail];
         return;
     }
     (spec.requestClass.empty() ? m_result.others : m_result.urgent).values.push_back(result.totalSeconds);
@@ -114,16 +114,16 @@
 
 mix_result caller_mix::finish()
 {
-    std::map<std::string, int> runs;
+    std::map<std::string, int> executions;
     for (const auto& target : m_run.targetsOf(m_settings.service)) {
-        const auto counted = harness::callJson(m_run.targetAddress(target), "GET", "/runs");
-        if (!counted.is_object())
+        const auto response = harness::callJson(m_run.targetAddress(target), "GET", "/runs");
+        if (!response.is_object())
             continue;
-        for (const auto& [key, count] : counted.items())
-            runs[key] += count.get<int>();
+        for (const auto& [key, count] : response.items())
+            executions[key] += count.get<int>();
     }
-    for (const auto& [key, count] : runs)
-        m_result.doubled += count > 1;
+    for (const auto& [key, count] : executions)
+        m_result.duplicatedKeys += count > 1;
     return m_result;
 }
 
--- a/tools/lab/demo_command.cpp
+++ b/tools/lab/demo_command.cpp
@@ -1,4 +1,5 @@
-// demo: a whole deployment under a swinging mix, and a table of how it went.
+// Implements the demo experiment: runs a whole deployment under a varying request mix and prints the outcomes, the
+// latencies and one trace.
 #include "commands.h"
 
 #include "observe/span.h"
@@ -21,9 +22,9 @@
         return changes;
     }
 
-    void row(const char* name, const std::string& value) { std::printf("  %-34s %s\n", name, value.c_str()); }
+    void printRow(const char* name, const std::string& value) { std::printf("  %-34s %s\n", name, value.c_str()); }
 
-    /// Makes one more call under a trace of its own and prints the spans of caller, node and target.
+    /// Sends one more request with its own trace and prints the spans of the caller, the nodes and the targets.
     void printTrace(const harness::deployment_run& run, const mix_settings& mix)
     {
         span_id_source ids(static_cast<std::uint64_t>(wallNanoseconds()));
@@ -55,7 +56,7 @@
             "\none request, trace %s\n%s", context.traceId.c_str(), formatTraceTree(lines, context.traceId).c_str());
     }
 
-    std::string quantiles(latency_list& list)
+    std::string formatQuantiles(latency_list& list)
     {
         char text[80];
         std::snprintf(text, sizeof text, "p50 %.3f s   p95 %.3f s   p99 %.3f s   (%zu)", list.quantile(0.5),
@@ -88,7 +89,7 @@
     options.nodes = given["nodes"].as<int>();
     options.withSpans = true;
     harness::deployment_run run(options);
-    std::printf("starting %s on stand-ins: %d nodes\n", deployment.c_str(), options.nodes);
+    std::printf("starting %s with simulated targets: %d nodes\n", deployment.c_str(), options.nodes);
     const auto failure = run.start();
     if (!failure.empty()) {
         std::fprintf(
@@ -104,26 +105,26 @@
     auto result = callers.finish();
     const auto count = [&](harness::call_end end) { return result.ends[static_cast<std::size_t>(end)]; };
     std::printf("\n%s\n", deployment.c_str());
-    row("sent", std::to_string(result.sent));
-    row("goodput (whole, in time)", std::to_string(result.goodput));
-    row("urgent, to the whole answer", quantiles(result.urgent));
-    row("others, to the whole answer", quantiles(result.others));
-    row("completions, to the first event", quantiles(result.firstEvent));
-    row("refused for good", std::to_string(count(harness::call_end::refused)));
-    row("outcome unknown", std::to_string(count(harness::call_end::unknown)));
-    row("tries beyond the first", std::to_string(result.retries));
-    row("streams resumed", std::to_string(result.resumes));
-    row("lost", std::to_string(count(harness::call_end::lost)));
-    row("wrong bytes", std::to_string(count(harness::call_end::wrong)));
-    row("doubled", std::to_string(result.doubled));
-    row("role changes",
+    printRow("sent", std::to_string(result.sent));
+    printRow("goodput (whole, in time)", std::to_string(result.goodput));
+    printRow("urgent, to the whole answer", formatQuantiles(result.urgent));
+    printRow("others, to the whole answer", formatQuantiles(result.others));
+    printRow("completions, to the first event", formatQuantiles(result.firstEvent));
+    printRow("refused for good", std::to_string(count(harness::call_end::refused)));
+    printRow("outcome unknown", std::to_string(count(harness::call_end::unknown)));
+    printRow("tries beyond the first", std::to_string(result.retries));
+    printRow("streams resumed", std::to_string(result.resumes));
+    printRow("lost", std::to_string(count(harness::call_end::lost)));
+    printRow("wrong bytes", std::to_string(count(harness::call_end::wrong)));
+    printRow("doubled", std::to_string(result.duplicatedKeys));
+    printRow("role changes",
         std::to_string(roleChanges(run, deployment == "vodoslet" ? "jazyk" : "stammbaum-lm") - changesBefore));
     printTrace(run, mix);
-    for (const auto& [detail, times] : result.wrongDetails)
-        std::printf("  %d x %s\n", times, detail.c_str());
-    const bool isClean
-        = count(harness::call_end::lost) == 0 && count(harness::call_end::wrong) == 0 && result.doubled == 0;
-    return isClean ? 0 : 1;
+    for (const auto& [detail, occurrences] : result.failureDetails)
+        std::printf("  %d x %s\n", occurrences, detail.c_str());
+    const bool hasPassed
+        = count(harness::call_end::lost) == 0 && count(harness::call_end::wrong) == 0 && result.duplicatedKeys == 0;
+    return hasPassed ? 0 : 1;
 }
 
 }
--- a/tools/lab/main.cpp
+++ b/tools/lab/main.cpp
@@ -1,4 +1,4 @@
-// tamarack_lab: experiments with real processes on loopback.
+// The command line of tamarack_lab, which runs experiments with real processes on the loopback interface.
 #include "commands.h"
 
 #include <QCoreApplication>
@@ -18,10 +18,11 @@
 };
 
 constexpr std::array<experiment, 4> experiments { {
-    { "demo", "a deployment under a swinging mix, and a table of how it went", lab::runDemo },
-    { "overhead", "what a node adds to a direct connection, and what one node carries", lab::runOverhead },
-    { "faults", "the mix while processes are killed and frozen and the platform fails", lab::runFaults },
-    { "scale", "control's cost by nodes, spread of a configuration, take-over of a lease", lab::runScale },
+    { "demo", "runs a deployment under a varying request mix and prints the outcomes", lab::runDemo },
+    { "overhead", "measures the latency that a node adds and the throughput of one node", lab::runOverhead },
+    { "faults", "runs the mix while processes are killed and frozen and the platform fails", lab::runFaults },
+    { "scale", "measures control plane cost by node count, configuration propagation and lease takeover",
+        lab::runScale },
 } };
 
 }
@@ -32,10 +33,10 @@
     description.add_options()("help,h", "print this and exit")("experiment", options::value<std::string>(), "")(
         "deployment", options::value<std::string>()->default_value("vodoslet"), "vodoslet or ahnenhaus")("nodes",
         options::value<int>()->default_value(3),
-        "nodes to start")("seconds", options::value<double>()->default_value(10), "length of the load")("rate",
-        options::value<double>()->default_value(12),
-        "requests a second")("seed", options::value<std::uint64_t>()->default_value(1), "of the mix")(
-        "work-dir", options::value<std::string>()->default_value("run"), "for settings, logs and spans; emptied first");
+        "nodes to start")("seconds", options::value<double>()->default_value(10), "duration of the load in seconds")(
+        "rate", options::value<double>()->default_value(12), "requests per second")(
+        "seed", options::value<std::uint64_t>()->default_value(1), "seed of the mix")("work-dir",
+        options::value<std::string>()->default_value("run"), "directory for settings, logs and spans; emptied first");
     options::positional_options_description positional;
     positional.add("experiment", 1);
     options::variables_map given;
--- a/tools/lab/overhead_command.cpp
+++ b/tools/lab/overhead_command.cpp
@@ -1,4 +1,5 @@
-// overhead: what a node adds to a direct connection to the same engine, and how much one node carries.
+// Implements the overhead experiment: measures the latency that a node adds to a direct connection to the same engine,
+// and the throughput of one node.
 #include "commands.h"
 #include "process_usage.h"
 
@@ -9,9 +10,10 @@
 
 namespace {
 
-    struct timing {
-        std::vector<double> first;
-        std::vector<double> whole;
+    /// Latencies in seconds.
+    struct latencies {
+        std::vector<double> first; ///< to the first byte of the body
+        std::vector<double> whole; ///< to the end of the response
     };
 
     double median(std::vector<double>& values)
@@ -34,7 +36,7 @@
         return request;
     }
 
-    void measureOne(http_client& client, const endpoint& peer, const http_request& request, timing& into)
+    void measureRequest(http_client& client, const endpoint& peer, const http_request& request, latencies& results)
     {
         const instant startedAt = boot_clock::now();
         bool isDone = false;
@@ -42,11 +44,11 @@
         exchange_handlers handlers;
         handlers.onBody = [&](std::string_view) {
             if (!sawFirst)
-                into.first.push_back(seconds(boot_clock::now() - startedAt));
+                results.first.push_back(seconds(boot_clock::now() - startedAt));
             sawFirst = true;
         };
         handlers.onEnd = [&] {
-            into.whole.push_back(seconds(boot_clock::now() - startedAt));
+            results.whole.push_back(seconds(boot_clock::now() - startedAt));
             isDone = true;
         };
         handlers.onFailure = [&](const exchange_failure&) { isDone = true; };
@@ -54,9 +56,10 @@
         harness::waitUntil([&] { return isDone; });
     }
 
-    /// Keeps `parallel` streams open for `length` seconds; tokens and requests per second.
-    void saturate(const harness::deployment_run& run, const std::string& vm, const std::string& model, int parallel,
-        double length)
+    /// Keeps `parallel` streams open for `length` seconds and prints requests and events per second, CPU and memory
+    /// use.
+    void measureThroughput(const harness::deployment_run& run, const std::string& vm, const std::string& model,
+        int parallel, double length)
     {
         http_client client;
         constexpr long linesPerEvent = 3;
@@ -88,12 +91,12 @@
         for (int i = 0; i < parallel; ++i)
             next();
         harness::waitUntil([&] { return boot_clock::now() >= end && open == 0; }, fromSeconds(length + 30));
-        const double took = seconds(boot_clock::now() - startedAt);
+        const double elapsedSeconds = seconds(boot_clock::now() - startedAt);
         const auto after = usageOf(run.pid(vm));
-        const double core = (after.cpuSeconds - before.cpuSeconds) / took;
+        const double coresUsed = (after.cpuSeconds - before.cpuSeconds) / elapsedSeconds;
         std::printf("  %3d streams  %7.0f requests/s %9.0f events/s  %5.2f core  %5.1f MB  %ld failed\n", parallel,
-            static_cast<double>(requests) / took, static_cast<double>(lines / linesPerEvent) / took, core,
-            after.residentMegabytes, failures);
+            static_cast<double>(requests) / elapsedSeconds, static_cast<double>(lines / linesPerEvent) / elapsedSeconds,
+            coresUsed, after.residentMegabytes, failures);
     }
 
 }
@@ -105,7 +108,7 @@
     options.workDir = given["work-dir"].as<std::string>();
     options.nodes = 1;
     options.targetsPerService = 4;
-    // One role for all, and engines fast enough that the node is what is measured.
+    // Disables the prefill and decode roles and makes the engines so fast that the node is the bottleneck.
     options.textPatch = { { "services",
                               { { "jazyk",
                                   { { "prefill_targets", 0 }, { "decode_targets", 0 }, { "slots", 256 },
@@ -120,12 +123,12 @@
     const auto vm = run.vms().front();
     const auto engine = run.targetAddress(run.targetsOf("jazyk").front());
     http_client client;
-    timing direct;
-    timing throughNode;
+    latencies direct;
+    latencies throughNode;
     for (int i = 0; i < 100; ++i) {
         const auto request = streamRequest("jazyk-sumar", i, 50);
-        measureOne(client, engine, request, direct);
-        measureOne(client, run.callerAddress(vm), request, throughNode);
+        measureRequest(client, engine, request, direct);
+        measureRequest(client, run.callerAddress(vm), request, throughNode);
     }
     const double first = median(throughNode.first) / median(direct.first);
     const double whole = median(throughNode.whole) / median(direct.whole);
@@ -134,9 +137,9 @@
         median(throughNode.first) * 1e3, first);
     std::printf("  whole stream of up to 50 (ms)  %9.3f %8.3f %8.3f\n", median(direct.whole) * 1e3,
         median(throughNode.whole) * 1e3, whole);
-    std::printf("one node, whole load through it\n");
+    std::printf("throughput of one node\n");
     for (const int parallel : { 50, 200, 400 })
-        saturate(run, vm, "jazyk-sumar", parallel, given["seconds"].as<double>());
+        measureThroughput(run, vm, "jazyk-sumar", parallel, given["seconds"].as<double>());
     return 0;
 }
 
--- a/tools/lab/process_usage.cpp
+++ b/tools/lab/process_usage.cpp
@@ -1,4 +1,4 @@
-// Reads /proc/PID/stat and statm.
+// Reads the CPU time and the resident memory of a process from /proc/PID/stat and /proc/PID/statm.
 #include "process_usage.h"
 
 #include <fstream>
--- a/tools/lab/process_usage.h
+++ b/tools/lab/process_usage.h
@@ -1,4 +1,4 @@
-// What a process has used so far, from /proc.
+// Provides the CPU time and the resident memory of a process, as /proc reports them.
 #pragma once
 
 #include <cstdint>
@@ -10,6 +10,7 @@
     double residentMegabytes = 0;
 };
 
+/// Returns the CPU time that process `pid` has used since its start, and its present resident memory.
 process_usage usageOf(std::int64_t pid);
 
 }
