--- a/tools/bench/policy_bench.cpp
+++ b/tools/bench/policy_bench.cpp
@@ -1,5 +1,6 @@
-// Tables of docs/POLICY.md: the shipped policy against baselines and perfect foresight, over seeds.
-#include "policy_world.h"
+// Prints the tables of docs/POLICY.md, which compare the shipped policy with baselines and with perfect foresight over
+// a number of seeds.
+#include "policy_simulation.h"
 
 #include <algorithm>
 #include <boost/program_options.hpp>
@@ -13,7 +14,7 @@
 using namespace tamarack::bench;
 namespace options = boost::program_options;
 
-const std::vector<contender> contenders {
+const std::vector<policy_variant> variants {
     { "shipped", split_rule::planner, routing_rule::two_choices },
     { "round robin", split_rule::planner, routing_rule::round_robin },
     { "least in flight", split_rule::planner, routing_rule::least_in_flight },
@@ -34,7 +35,8 @@
     return values[std::min(values.size() - 1, static_cast<std::size_t>(q * static_cast<double>(values.size())))];
 }
 
-struct spread {
+/// Values of one measure, one per seed.
+struct sample {
     std::vector<double> values;
 
     double mean() const
@@ -44,6 +46,7 @@
             sum += v;
         return values.empty() ? 0 : sum / static_cast<double>(values.size());
     }
+    /// Sample standard deviation.
     double deviation() const
     {
         double sum = 0;
@@ -60,14 +63,14 @@
     std::printf("\n%s, %d seeds\n", name.c_str(), seeds);
     std::printf("%-18s %-16s %7s %7s %7s %7s %7s %7s %7s %7s %7s %8s %8s %9s %8s\n", "", "goodput %", "u p50", "u p95",
         "u p99", "p99 out", "p99 in", "TTFT50", "TTFT95", "gap50", "gap95", "changes", "refused", "late", "fairness");
-    for (const auto& who : contenders) {
-        if (!only.empty() && who.name != only)
+    for (const auto& variant : variants) {
+        if (!only.empty() && variant.name != only)
             continue;
-        spread goodput, changes, refused, late, fairness;
+        sample goodput, changes, refused, late, fairness;
         std::vector<double> urgent, inside, outside, first, gap;
         for (int seed = 1; seed <= seeds; ++seed) {
             const auto load = makeWorkload(name, static_cast<std::uint64_t>(seed));
-            auto result = policy_world(load, who, static_cast<std::uint64_t>(seed)).run();
+            auto result = policy_simulation(load, variant, static_cast<std::uint64_t>(seed)).run();
             goodput.values.push_back(100.0 * result.inTime / result.offered);
             changes.values.push_back(result.roleChanges);
             refused.values.push_back(result.refused);
@@ -81,7 +84,7 @@
         }
         std::printf(
             "%-18s %6.2f +- %-6.2f %7.3f %7.3f %7.3f %7.3f %7.3f %7.3f %7.3f %7.3f %7.3f %8.1f %8.1f %9.1f %8.4f\n",
-            who.name.c_str(), goodput.mean(), goodput.deviation(), quantile(urgent, 0.5), quantile(urgent, 0.95),
+            variant.name.c_str(), goodput.mean(), goodput.deviation(), quantile(urgent, 0.5), quantile(urgent, 0.95),
             quantile(urgent, 0.99), quantile(outside, 0.99), quantile(inside, 0.99), quantile(first, 0.5),
             quantile(first, 0.95), quantile(gap, 0.5), quantile(gap, 0.95), changes.mean(), refused.mean(), late.mean(),
             fairness.mean());
@@ -97,9 +100,9 @@
     std::string workload;
     std::string only;
     options::options_description description("policy_bench");
-    description.add_options()("help,h", "print this and exit")(
-        "seeds", options::value(&seeds), "runs of each workload")(
-        "workload", options::value(&workload), "only this one")("only", options::value(&only), "only this contender");
+    description.add_options()("help,h", "print this and exit")("seeds", options::value(&seeds),
+        "number of seeds of each workload")("workload", options::value(&workload), "run only this workload")(
+        "only", options::value(&only), "run only this policy variant");
     options::variables_map given;
     options::store(options::parse_command_line(argc, argv, description), given);
     options::notify(given);
--- a/tools/bench/serving_bench.cpp
+++ b/tools/bench/serving_bench.cpp
@@ -1,5 +1,5 @@
-// Plays loads on the decisions of all nodes, in virtual time, and prints what callers get: the users' fleets, or fleets
-// drawn at random. It asserts nothing.
+// Simulates fleets in virtual time with the decisions of all nodes and prints the results for callers, for the users'
+// fleets or for random fleets. It asserts nothing.
 #include "random_fleets.h"
 #include "users_fleets.h"
 
@@ -37,16 +37,16 @@
     int firstSeed = 1;
     int jobs = 4;
     int randomFleets = 0;
-    int nodes = 0; ///< 0: as the fleet's sheet says
-    double length = 34;
-    double loss = 0.1;
-    double prefillShare = 0;
-    double restarts = 0;
-    double load = 1;
-    bool isUntold = false;
+    int nodes = 0; ///< 0: as in the profile of the fleet
+    double lengthSeconds = 34;
+    double lostShare = 0.1; ///< share of the engines that are lost for 2 s in the middle
+    double prefillShare = 0; ///< 0: as in the profile of the fleet
+    double restartedShare = 0; ///< share of the nodes that restart in the middle
+    double loadFactor = 1;
+    bool lacksSnapshot = false; ///< restarted nodes get no snapshot of the cache contents
     bool keepsRoles = false;
-    bool isPlain = false; ///< a line a fleet, for comparisons
-    std::string only;
+    bool isCompact = false; ///< one line per fleet, for comparisons
+    std::string onlyFleet;
 };
 
 void add(kind_result& to, const kind_result& from)
@@ -87,7 +87,8 @@
 
 void print(const std::string& name, const fleet_result& result)
 {
-    std::printf("%-16s earned %.4f  read %.1f M, again %.2f M, moved %.0f GB, %d changes of role, %lld connections\n",
+    std::printf("%-16s earned %.4f  prefilled %.1f M tokens, recomputed %.2f M, transferred %.0f GB, %d role changes, "
+                "%lld connections\n",
         name.c_str(), result.earned / result.owed, result.prefilledTokens / 1e6, result.recomputedTokens / 1e6,
         result.transferredGigabytes, result.roleChanges, static_cast<long long>(result.connections));
     for (const auto& kind : result.kinds) {
@@ -100,8 +101,8 @@
     }
 }
 
-/// Runs `count` tasks, some at a time.
-void inParallel(int count, int jobs, const std::function<void(int)>& task)
+/// Runs `task` for 0 to `count` - 1 on `jobs` threads.
+void runInParallel(int count, int jobs, const std::function<void(int)>& task)
 {
     std::atomic<int> next = 0;
     std::vector<std::thread> threads;
@@ -115,49 +116,50 @@
         thread.join();
 }
 
-fleet_profile changed(fleet_profile sheet, const bench_options& given)
+fleet_profile withOverrides(fleet_profile profile, const bench_options& given)
 {
     if (given.prefillShare > 0)
-        sheet.prefillShare = given.prefillShare;
+        profile.prefillShare = given.prefillShare;
     if (given.nodes > 0)
-        sheet.nodes = given.nodes;
+        profile.nodes = given.nodes;
     if (given.keepsRoles)
-        sheet.changesRoles = false;
-    for (auto& kind : sheet.kinds)
-        kind.perSecond *= given.load;
-    return sheet;
+        profile.changesRoles = false;
+    for (auto& kind : profile.kinds)
+        kind.perSecond *= given.loadFactor;
+    return profile;
 }
 
-fleet_result playUsers(const named_fleet& fleet, int seed, const bench_options& given)
+fleet_result simulateUsersFleet(const named_fleet& fleet, int seed, const bench_options& given)
 {
-    auto sheet = changed(fleet.make(), given);
-    const auto middle = fromSeconds(given.length / 2);
-    if (given.restarts > 0)
-        sheet.restarts = { { middle, given.restarts, !given.isUntold } };
-    if (given.loss > 0)
-        sheet.losses = { { middle, middle + std::chrono::seconds(2), given.loss } };
-    return fleet_model(std::move(sheet), static_cast<std::uint64_t>(seed)).run(fromSeconds(given.length));
+    auto profile = withOverrides(fleet.make(), given);
+    const auto halfTime = fromSeconds(given.lengthSeconds / 2);
+    if (given.restartedShare > 0)
+        profile.restarts = { { halfTime, given.restartedShare, !given.lacksSnapshot } };
+    if (given.lostShare > 0)
+        profile.losses = { { halfTime, halfTime + std::chrono::seconds(2), given.lostShare } };
+    return fleet_model(std::move(profile), static_cast<std::uint64_t>(seed)).run(fromSeconds(given.lengthSeconds));
 }
 
 void benchUsers(const bench_options& given)
 {
     for (const auto& fleet : fleets) {
-        if (!given.only.empty() && given.only != fleet.name)
+        if (!given.onlyFleet.empty() && given.onlyFleet != fleet.name)
             continue;
         std::vector<fleet_result> results(static_cast<std::size_t>(given.seeds));
-        inParallel(given.seeds, given.jobs,
-            [&](int at) { results[static_cast<std::size_t>(at)] = playUsers(fleet, given.firstSeed + at, given); });
+        runInParallel(given.seeds, given.jobs, [&](int at) {
+            results[static_cast<std::size_t>(at)] = simulateUsersFleet(fleet, given.firstSeed + at, given);
+        });
         fleet_result sum;
         for (const auto& result : results)
             add(sum, result);
-        if (given.isPlain)
+        if (given.isCompact)
             std::printf("%s %.4f\n", fleet.name, sum.earned / sum.owed);
         else
             print(fleet.name, sum);
     }
 }
 
-/// The mean, and the mean of the lowest tenth.
+/// Prints the mean, the mean of the lowest tenth, and the lowest share.
 void printShares(std::vector<double> shares)
 {
     std::sort(shares.begin(), shares.end());
@@ -174,17 +176,17 @@
 {
     const auto count = static_cast<std::size_t>(given.randomFleets);
     std::vector<fleet_result> results(count);
-    const auto length = fromSeconds(given.length);
-    inParallel(given.randomFleets, given.jobs, [&](int at) {
+    const auto length = fromSeconds(given.lengthSeconds);
+    runInParallel(given.randomFleets, given.jobs, [&](int at) {
         const auto seed = static_cast<std::uint64_t>(given.firstSeed + at);
         results[static_cast<std::size_t>(at)]
-            = fleet_model(changed(randomFleet(seed, length), given), seed).run(length);
+            = fleet_model(withOverrides(randomFleet(seed, length), given), seed).run(length);
     });
     std::vector<double> shares;
     for (std::size_t i = 0; i < count; ++i) {
         const auto seed = static_cast<std::uint64_t>(given.firstSeed) + i;
         shares.push_back(results[i].earned / results[i].owed);
-        if (given.isPlain)
+        if (given.isCompact)
             std::printf("%llu %.4f\n", static_cast<unsigned long long>(seed), shares.back());
         else
             print("random " + std::to_string(seed), results[i]);
@@ -198,25 +200,28 @@
 {
     namespace options = boost::program_options;
     bench_options given;
-    options::options_description described("serving_bench");
-    described.add_options()("seeds", options::value(&given.seeds), "seeds of each of the users' fleets");
-    described.add_options()("random", options::value(&given.randomFleets), "so many fleets drawn at random instead");
-    described.add_options()("first-seed", options::value(&given.firstSeed), "the others follow it");
-    described.add_options()("jobs", options::value(&given.jobs), "played at a time");
-    described.add_options()("seconds", options::value(&given.length), "length of each day");
-    described.add_options()("load", options::value(&given.load), "times the usual one");
-    described.add_options()("loss", options::value(&given.loss), "share of the engines lost for 2 s in the middle");
-    described.add_options()("reading-share", options::value(&given.prefillShare),
-        "of the engines read at the start; 0: as the fleet's sheet says");
-    described.add_options()("nodes", options::value(&given.nodes), "that decide; 0: as the fleet's sheet says");
-    described.add_options()("keep-roles", options::bool_switch(&given.keepsRoles), "no engine changes its role");
-    described.add_options()(
-        "restarts", options::value(&given.restarts), "share of the nodes started anew in the middle");
-    described.add_options()("untold", options::bool_switch(&given.isUntold), "nobody tells them what the engines keep");
-    described.add_options()("only", options::value(&given.only), "one fleet by name");
-    described.add_options()("plain", options::bool_switch(&given.isPlain), "a line a fleet");
+    options::options_description description("serving_bench");
+    description.add_options()("seeds", options::value(&given.seeds), "number of seeds of each of the users' fleets");
+    description.add_options()("random", options::value(&given.randomFleets),
+        "number of random fleets to simulate instead of the users' fleets");
+    description.add_options()("first-seed", options::value(&given.firstSeed), "first of the consecutive seeds");
+    description.add_options()("jobs", options::value(&given.jobs), "number of simulations to run at a time");
+    description.add_options()("seconds", options::value(&given.lengthSeconds), "simulated time of each run");
+    description.add_options()("load", options::value(&given.loadFactor), "factor of the request rate");
+    description.add_options()(
+        "loss", options::value(&given.lostShare), "share of the engines lost for 2 s in the middle");
+    description.add_options()("reading-share", options::value(&given.prefillShare),
+        "share of the engines that start as prefill engines; 0: as in the fleet's profile");
+    description.add_options()("nodes", options::value(&given.nodes), "number of nodes; 0: as in the fleet's profile");
+    description.add_options()("keep-roles", options::bool_switch(&given.keepsRoles), "no engine changes its role");
+    description.add_options()(
+        "restarts", options::value(&given.restartedShare), "share of the nodes that restart in the middle");
+    description.add_options()(
+        "untold", options::bool_switch(&given.lacksSnapshot), "restarted nodes get no snapshot of the cache contents");
+    description.add_options()("only", options::value(&given.onlyFleet), "run only the fleet of this name");
+    description.add_options()("plain", options::bool_switch(&given.isCompact), "print one line per fleet");
     options::variables_map values;
-    options::store(options::parse_command_line(argc, argv, described), values);
+    options::store(options::parse_command_line(argc, argv, description), values);
     options::notify(values);
     if (given.randomFleets > 0)
         benchRandom(given);
--- a/tools/bench/workloads.cpp
+++ b/tools/bench/workloads.cpp
@@ -1,4 +1,4 @@
-// The workloads of the brief, as arrivals.
+// Builds the deployments, arrivals and incidents of the named workloads.
 #include "workloads.h"
 
 #include <algorithm>
@@ -8,10 +8,10 @@
 
 namespace {
 
-    /// The mix at one moment.
+    /// Rates and mean lengths of requests at one moment.
     struct mix {
-        double rate = 0; ///< ordinary requests a second
-        double urgentRate = 0;
+        double rate = 0; ///< ordinary requests per second
+        double urgentRate = 0; ///< urgent requests per second
         double promptTokens = 0; ///< mean
         double outputTokens = 0; ///< mean
     };
@@ -48,37 +48,38 @@
         return config;
     }
 
-    double blend(double a, double b, double share) { return a + (b - a) * std::clamp(share, 0.0, 1.0); }
+    double interpolate(double a, double b, double share) { return a + (b - a) * std::clamp(share, 0.0, 1.0); }
 
     mix vodosletMix(double t)
     {
-        // Long histories with short summaries, then short reports with longer tags, swinging within minutes; a burst of
-        // reports and crew calls while it swings.
-        const double swing = 0.5 - 0.5 * std::cos(2 * 3.14159265 * t / 240);
+        // Alternates within minutes between long histories with short summaries and short reports with longer tags. A
+        // burst of reports and urgent crew requests falls into the alternation.
+        const double reportShare = 0.5 - 0.5 * std::cos(2 * 3.14159265 * t / 240);
         const bool isFlood = t > 120 && t < 260;
         mix m;
-        m.promptTokens = blend(9000, 1500, swing);
-        m.outputTokens = blend(60, 220, swing);
-        m.rate = blend(15, 24, swing) * (isFlood ? 1.15 : 1.0);
+        m.promptTokens = interpolate(9000, 1500, reportShare);
+        m.outputTokens = interpolate(60, 220, reportShare);
+        m.rate = interpolate(15, 24, reportShare) * (isFlood ? 1.15 : 1.0);
         m.urgentRate = isFlood ? 12 : 3;
         return m;
     }
 
     mix ahnenhausMix(double t)
     {
-        // Genealogists' questions over whole families, then tags for scanned entries.
-        const double scans = (t - 150) / 60;
+        // Shifts once from questions on whole families (long prompts) to tags for scanned entries (many short prompts).
+        const double scanShare = (t - 150) / 60;
         mix m;
-        m.promptTokens = blend(14'000, 1200, scans);
-        m.outputTokens = blend(150, 200, scans);
-        m.rate = blend(14.5, 42, scans);
+        m.promptTokens = interpolate(14'000, 1200, scanShare);
+        m.outputTokens = interpolate(150, 200, scanShare);
+        m.rate = interpolate(14.5, 42, scanShare);
         m.urgentRate = 3;
         return m;
     }
 
-    std::int64_t around(random_source& random, double mean)
+    std::int64_t drawLength(random_source& random, double mean)
     {
-        // Log-normal with a spread of half an order: lengths of real prompts and answers are skewed.
+        // Log-normal with a standard deviation of 0.5 of the logarithm, because the lengths of real prompts and answers
+        // are skewed.
         constexpr double spread = 0.5;
         const double u = std::max(1e-9, random.unit());
         const double normal = std::sqrt(-2 * std::log(u)) * std::cos(2 * 3.14159265 * random.unit());
@@ -86,15 +87,15 @@
         return std::max<std::int64_t>(1, static_cast<std::int64_t>(value));
     }
 
-    arrival ordinary(random_source& random, const mix& m, double at)
+    arrival makeOrdinary(random_source& random, const mix& m, double at)
     {
         constexpr std::uint64_t accounts = 200;
         constexpr std::uint64_t families = 60;
         arrival a;
         a.at = at;
         a.shape.service = { 0 };
-        a.shape.promptTokens = around(random, m.promptTokens);
-        a.outputTokens = around(random, m.outputTokens);
+        a.shape.promptTokens = drawLength(random, m.promptTokens);
+        a.outputTokens = drawLength(random, m.outputTokens);
         a.shape.outputTokens = std::max<std::int64_t>(a.outputTokens, static_cast<std::int64_t>(m.outputTokens * 2));
         a.shape.account = random.below(accounts) + 1;
         a.shape.prefixHash = random.below(families) + 1;
@@ -102,14 +103,14 @@
         return a;
     }
 
-    arrival urgent(random_source& random, double at)
+    arrival makeUrgent(random_source& random, double at)
     {
         arrival a;
         a.at = at;
         a.shape.service = { 0 };
         a.shape.isUrgent = true;
-        a.shape.promptTokens = around(random, 120);
-        a.outputTokens = around(random, 16);
+        a.shape.promptTokens = drawLength(random, 120);
+        a.outputTokens = drawLength(random, 16);
         a.shape.outputTokens = 32;
         a.shape.account = 1000 + random.below(20);
         return a;
@@ -139,16 +140,16 @@
     if (name == "log-down")
         w.incidents.push_back({ 100, 240, {}, false, true });
     random_source random(seed * 104729 + 1);
-    const auto next = [&](double rate) { return -std::log(std::max(1e-12, random.unit())) / rate; };
+    const auto nextInterval = [&](double rate) { return -std::log(std::max(1e-12, random.unit())) / rate; };
     for (double t = 0; t < w.seconds;) {
         const mix m = isVodoslet ? vodosletMix(t) : ahnenhausMix(t);
-        t += next(m.rate);
-        w.arrivals.push_back(ordinary(random, m, t));
+        t += nextInterval(m.rate);
+        w.arrivals.push_back(makeOrdinary(random, m, t));
     }
     for (double t = 0; t < w.seconds;) {
         const mix m = isVodoslet ? vodosletMix(t) : ahnenhausMix(t);
-        t += next(m.urgentRate);
-        w.arrivals.push_back(urgent(random, t));
+        t += nextInterval(m.urgentRate);
+        w.arrivals.push_back(makeUrgent(random, t));
     }
     std::sort(w.arrivals.begin(), w.arrivals.end(), [](const auto& a, const auto& b) { return a.at < b.at; });
     return w;
--- a/tools/bench/workloads.h
+++ b/tools/bench/workloads.h
@@ -1,4 +1,4 @@
-// Seeded arrivals: what is asked of a deployment over time, and what happens to its engines meanwhile.
+// Provides seeded workloads: the requests that arrive at a deployment over time, and the incidents of its engines.
 #pragma once
 
 #include "base/random_source.h"
@@ -10,35 +10,38 @@
 
 namespace tamarack::bench {
 
+/// A request and the time of its arrival.
 struct arrival {
     double at = 0; ///< seconds
     request_shape shape;
-    std::int64_t outputTokens = 0; ///< what it will really produce
-    std::int64_t prefixTokens = 0;
+    std::int64_t outputTokens = 0; ///< actual length of the answer; shape.outputTokens is the limit of the request
+    std::int64_t prefixTokens = 0; ///< length of the prefix that requests with the same hash share
 };
 
-/// From `from` to `until`, engines are away, or the log (and with it all role changes).
+/// From `from` to `until` (seconds), engines are unavailable, or the log is, without which no role changes.
 struct incident {
     double from = 0;
     double until = 0;
-    std::vector<int> engines; ///< rows; they fail without a word
-    bool isAnnounced = false; ///< the engines leave gracefully instead
+    std::vector<int> engines; ///< rows of the target table; the engines fail without notice
+    bool isGraceful = false; ///< the engines are marked as leaving instead of failing
     bool isLogDown = false;
 };
 
+/// A deployment, its requests and its incidents.
 struct workload {
     std::string name;
     deployment config;
-    int purePrefill = 0; ///< prefill engines of the best split without mixed engines
-    double seconds = 0;
+    int purePrefill = 0; ///< number of prefill engines in the best split without mixed engines
+    double seconds = 0; ///< time during which requests arrive
     std::vector<arrival> arrivals; ///< in order of time
     std::vector<incident> incidents;
-    double shiftFrom = 0; ///< the mix shifts in this window; for latency before and during
-    double shiftUntil = 0;
+    double shiftFrom = 0; ///< start of the mix's shift; latencies inside and outside of it are reported apart
+    double shiftUntil = 0; ///< end of the shift
 };
 
-/// "vodoslet-flood", "ahnenhaus-evening", "engines-replaced", "zone-lost", "log-down".
+/// Returns "vodoslet-flood", "ahnenhaus-evening", "engines-replaced", "zone-lost", "log-down".
 std::vector<std::string> workloadNames();
+/// Builds the workload of that name; the same seed gives the same arrivals.
 workload makeWorkload(const std::string& name, std::uint64_t seed);
 
 }
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -1,8 +1,8 @@
 #!/usr/bin/env python3
-"""Removes one mechanism after another in a scratch copy and shows which proof then fails.
+"""Runs mutation tests: applies one mutation at a time to a scratch copy of the sources and reports the tests that fail.
 
 Usage: tools/mutations.py SCRATCH_DIR [NAME | test_decide | test_process]...
-Prints a line a mutation: the tests that failed. A mutation that no test notices ends the run with exit code 1.
+Prints one line per mutation with the failed tests. The exit code is 1 if a mutation makes no test fail.
 """
 import os
 import shutil
@@ -11,7 +11,7 @@
 
 DECIDE = "libs/decide/src/"
 MUTATIONS = [
-    # name, file, text, replacement
+    # Each entry: name, file, text to replace, replacement.
     ("claim-without-compare-and-set", DECIDE + "replicated_state.cpp",
      "    if (held.last != body.previous)\n        return verdict::stale_previous;\n", ""),
     ("order-without-compare-and-set", DECIDE + "replicated_state.cpp",
@@ -48,7 +48,7 @@
      "    if (!m_isAwaitingSnapshot && m_state.next() < page.first) {\n", "    if (false) {\n"),
 ]
 
-# Mutations that only processes show, with the cases to run.
+# Mutations that only tests with real processes detect, each with the test case to run.
 PROCESS_MUTATIONS = [
     ("order-without-drain", DECIDE + "order_system.cpp",
      "    if (isUnsent && !isDrained(target, now))\n        return;\n", "",
