--- a/libs/gateway/src/caller_flow.cpp
+++ b/libs/gateway/src/caller_flow.cpp
@@ -119,7 +119,7 @@
     options.connectTimeout = connectTimeout;
     options.silenceTimeout
         = command.timeLeft + connectTimeout; // the dispatcher cancels an attempt at a silent target earlier
-    options.longestIdle = command.longestIdle;
+    options.maxIdleTime = command.longestIdle;
     exchange_handlers handlers;
     const auto weak = weak_from_this();
     handlers.accepts = [weak](const http_response_head& head) {
@@ -317,7 +317,7 @@
     m_services.counters.count("tamarack_target_attempts_total",
         { { "service", fleet.service[attempt->command.target.value] },
             { "stage", nameOf(stageNames, attempt->command.stage) }, { "result", nameOf(resultNames, result) } });
-    if (const auto kept = attempt->exchange->keptFor(); kept > duration::zero())
+    if (const auto kept = attempt->exchange->reusableFor(); kept > duration::zero())
         m_services.decisions.connectionKept(attempt->command.target, boot_clock::now() + kept);
     const bool isGood = result == attempt_result::answered || result == attempt_result::prefilled;
     if (isGood) {
@@ -343,7 +343,7 @@
     m_attempt->exchange->cancel();
     // The connection may be dead rather than the target, in which case the other pooled connections are dead as well.
     const auto& fleet = m_services.decisions.fleet();
-    m_services.client.forget(parseEndpoint(fleet.address[m_attempt->command.target.value]));
+    m_services.client.closeIdleConnections(parseEndpoint(fleet.address[m_attempt->command.target.value]));
     m_attempt = nullptr;
 }
 
--- a/libs/gateway/src/gateway.cpp
+++ b/libs/gateway/src/gateway.cpp
@@ -227,7 +227,7 @@
 {
     http_server_limits out;
     out.connections = static_cast<int>(settings.descriptors * callerDescriptorShare);
-    out.heldBytes = static_cast<std::uint64_t>(
+    out.totalBodyBytes = static_cast<std::uint64_t>(
         bodyMemoryShare * static_cast<double>(settings.memoryMegabytes) * static_cast<double>(bytesPerMegabyte));
     if (!view.hasConfiguration())
         return out;
--- a/libs/http/include/http/event_stream.h
+++ b/libs/http/include/http/event_stream.h
@@ -1,4 +1,4 @@
-// Splits a byte stream into server-sent events without changing a byte of them.
+// Provides a splitter for streams of server-sent events (SSE) that leaves the bytes of the events unchanged.
 #pragma once
 
 #include <cstdint>
@@ -9,26 +9,27 @@
 
 namespace tamarack {
 
-/// One event as received, ending with its blank line.
+/// One event as received, including the blank line that ends it.
 struct stream_event {
     std::string_view bytes;
     std::optional<std::uint64_t> id;
-    std::string_view idText; ///< the id as sent; empty if there is none
-    std::string_view data; ///< the value of the last data line
-    bool isComment = false; ///< carries no data: a keep-alive
+    std::string_view idText; ///< the ID as sent; empty if there is none
+    std::string_view data; ///< the value of the last `data` field
+    bool isComment = false; ///< no `data` field, as in a keep-alive comment
 };
 
-/// Feeds on parts of a stream. Events are views into the splitter and end with the call that yields them.
+/// Splits a stream that arrives in parts of any size. Events are views into the splitter's buffer and are valid only
+/// during the callback.
 class event_splitter {
 public:
     void feed(std::string_view bytes, const std::function<void(const stream_event&)>& onEvent);
-    /// Drops an unfinished event, as when the stream is resumed elsewhere.
+    /// Discards an incomplete event, for example when the stream is resumed on another target.
     void reset() { m_pending.clear(); }
     bool hasPartial() const { return !m_pending.empty(); }
     std::size_t pendingBytes() const { return m_pending.size(); }
 
 private:
-    std::string m_pending; // begins at an event's first byte
+    std::string m_pending; // starts at the first byte of an event
 };
 
 }
--- a/libs/http/include/http/http_client.h
+++ b/libs/http/include/http/http_client.h
@@ -1,4 +1,4 @@
-// Sends one request over one connection, once: nothing in here ever sends a request a second time.
+// Provides an HTTP/1.1 client that sends each request at most once. It never retries a request by itself.
 #pragma once
 
 #include "base/clock.h"
@@ -12,18 +12,18 @@
 namespace tamarack {
 
 struct endpoint {
-    std::string address; ///< an IP number
+    std::string address; ///< an IP address in text form
     std::uint16_t port = 0;
 
     auto operator<=>(const endpoint&) const = default;
 };
 
-/// `address:port`; an endpoint with port 0 if the text is not one.
+/// Parses `address:port`. Returns an endpoint with port 0 if `text` is malformed.
 endpoint parseEndpoint(std::string_view text);
 std::string toString(const endpoint&);
 
 struct exchange_failure {
-    /// False only if no byte of the request can have left this process.
+    /// False only if it is certain that no byte of the request has left this process.
     bool mayHaveReachedPeer = false;
     bool timedOut = false;
     std::string reason;
@@ -31,20 +31,22 @@
 
 struct exchange_options {
     duration connectTimeout = std::chrono::seconds(1);
-    /// Longest silence once connected; keep-alive comments count as sound.
+    /// Maximum time without received bytes once connected. Keep-alive comments in a stream count as received bytes.
     duration silenceTimeout = std::chrono::seconds(10);
-    /// A kept connection may already be closed at the other end, which leaves "has it run?" open; a fresh one does not.
+    /// Whether to open a new connection instead of reusing an idle one. The peer may already have closed an idle
+    /// connection, and then it is unknown whether the request was executed.
     bool freshConnection = false;
-    /// A connection kept idle for longer is not used again.
-    duration longestIdle = std::chrono::seconds(60);
-    /// Whether the connection may be kept for later exchanges.
+    /// A connection that has been idle for longer is not reused.
+    duration maxIdleTime = std::chrono::seconds(60);
+    /// Whether the connection may be reused for later exchanges.
     bool keepConnection = true;
 };
 
-/// Called on the event loop's thread; exactly one of `onEnd` and `onFailure` ends an exchange, unless it is cancelled.
+/// Callbacks of an exchange, called on the thread of the event loop. Unless the exchange is cancelled, exactly one of
+/// `onEnd` and `onFailure` is called, and it is the last call.
 struct exchange_handlers {
-    /// Whether the answer is this exchange's. One that is not is read and dropped, and the next one on the connection
-    /// is waited for. Empty: every answer is.
+    /// Returns whether a response belongs to this exchange. A response that does not is read and discarded, and the
+    /// exchange waits for the next one on the connection. If empty, every response is accepted.
     std::function<bool(const http_response_head&)> accepts;
     std::function<void(const http_response_head&)> onHead;
     std::function<void(std::string_view)> onBody;
@@ -52,20 +54,21 @@
     std::function<void(const exchange_failure&)> onFailure;
 };
 
-/// A running exchange. Dropping the last reference does not cancel it.
+/// A request in progress and its response. Releasing the last reference does not cancel the exchange.
 class http_exchange {
 public:
     virtual ~http_exchange() = default;
-    /// No handler is called after this. The connection is reset: what has not reached the peer never will.
+    /// Cancels the exchange; no handler is called afterwards. The connection is reset, so bytes that have not reached
+    /// the peer yet are never delivered.
     virtual void cancel() = 0;
-    /// After its end: for how long its connection is kept for other exchanges; zero if it is not.
-    virtual duration keptFor() const = 0;
-    /// Stops or goes on reading, for back-pressure; the peer's sends then stall in TCP.
+    /// Returns, after the end of the exchange, how long its connection stays available for reuse; zero if it does not.
+    virtual duration reusableFor() const = 0;
+    /// Pauses or resumes reading, for back-pressure. While reading is paused, TCP flow control stalls the peer.
     virtual void setReading(bool reading) = 0;
 };
 
-/// Starts exchanges and keeps idle connections. A request without a `Host` header gets the peer's address as one. Lives
-/// on one thread.
+/// Starts exchanges and pools idle connections. A request without a `Host` header gets the peer's address as its
+/// `Host`. Threading: one thread only.
 class http_client {
 public:
     http_client();
@@ -75,12 +78,13 @@
 
     std::shared_ptr<http_exchange> start(
         const endpoint& peer, const http_request& request, const exchange_options& options, exchange_handlers handlers);
-    /// Sends a request whose answer fits in memory.
+    /// Sends a request and calls `done` with the complete response, which is collected in memory, or with null and the
+    /// failure.
     std::shared_ptr<http_exchange> fetch(const endpoint& peer, const http_request& request,
         const exchange_options& options, std::function<void(const http_response*, const exchange_failure&)> done);
-    /// Closes the idle connections to a peer.
-    void forget(const endpoint& peer);
-    /// New connections started so far.
+    /// Closes the idle connections to `peer`.
+    void closeIdleConnections(const endpoint& peer);
+    /// Returns the number of connections opened so far.
     std::uint64_t connectionsMade() const;
 
 private:
--- a/libs/http/include/http/http_message.h
+++ b/libs/http/include/http/http_message.h
@@ -1,4 +1,4 @@
-// HTTP messages as plain data, without the parser behind them.
+// Defines HTTP messages as plain data types that do not depend on the parser.
 #pragma once
 
 #include <optional>
@@ -13,11 +13,11 @@
     std::string value;
 };
 
-/// Headers in the order received; look-ups ignore case.
+/// Headers in the order received. Lookups ignore the case of names.
 struct header_list {
     std::vector<http_header> entries;
 
-    /// The first value under `name`; empty if there is none. Valid until the list changes.
+    /// Returns the first value of the header `name`, or an empty view if there is none. Valid until the list changes.
     std::string_view find(std::string_view name) const;
     bool has(std::string_view name) const;
     void set(std::string name, std::string value);
@@ -25,7 +25,7 @@
 
 struct http_request {
     std::string method;
-    std::string target; ///< path and query as sent
+    std::string target; ///< request target: path and query as sent
     header_list headers;
     std::string body;
 
@@ -37,7 +37,7 @@
     header_list headers;
 };
 
-/// A whole answer that fits in memory.
+/// A complete response that is held in memory.
 struct http_response {
     int status = 200;
     header_list headers;
@@ -45,9 +45,9 @@
 };
 
 bool equalsIgnoreCase(std::string_view a, std::string_view b);
-/// A decimal number without sign or blanks, or nothing.
+/// Parses a decimal number without sign or blanks. Returns nothing if `text` is malformed or out of range.
 std::optional<std::uint64_t> parseNumber(std::string_view text);
-/// The same for hexadecimal digits.
+/// Parses a hexadecimal number under the same rules, without a prefix.
 std::optional<std::uint64_t> parseHexadecimal(std::string_view text);
 
 }
--- a/libs/http/src/connection_pool.cpp
+++ b/libs/http/src/connection_pool.cpp
@@ -1,4 +1,4 @@
-// Keeps, hands out and drops idle connections.
+// Implements the pool of idle connections.
 #include "connection_pool.h"
 
 namespace tamarack::detail {
@@ -7,16 +7,16 @@
 
     using namespace std::chrono_literals;
 
-    constexpr std::size_t mostIdlePerPeer = 8;
+    constexpr std::size_t maxIdlePerPeer = 8;
     constexpr auto sweepInterval = 1s;
 
 }
 
 connection_pool::idle_connection::idle_connection(
-    connection_pool& owner, const endpoint& address, std::unique_ptr<stream_socket> given)
+    connection_pool& owner, const endpoint& address, std::unique_ptr<stream_socket> idleSocket)
     : pool(owner)
     , peer(address)
-    , socket(std::move(given))
+    , socket(std::move(idleSocket))
 {
     socket->setListener(*this);
 }
@@ -27,15 +27,15 @@
     m_sweepTimer.start(sweepInterval);
 }
 
-std::unique_ptr<stream_socket> connection_pool::take(const endpoint& peer, duration longestIdle)
+std::unique_ptr<stream_socket> connection_pool::take(const endpoint& peer, duration maxIdleTime)
 {
     const auto found = m_idle.find(peer);
     if (found == m_idle.end() || found->second.empty())
         return nullptr;
     auto& newest = found->second.back();
     const auto now = boot_clock::now();
-    if (now >= newest.until || now - newest.since >= longestIdle) {
-        m_idle.erase(found); // the others have been idle for longer still
+    if (now >= newest.expiresAt || now - newest.idleSince >= maxIdleTime) {
+        m_idle.erase(found); // the other connections have been idle for even longer
         return nullptr;
     }
     auto socket = std::move(newest.socket);
@@ -43,15 +43,15 @@
     return socket;
 }
 
-std::unique_ptr<stream_socket> connection_pool::give(
+std::unique_ptr<stream_socket> connection_pool::addIdle(
     const endpoint& peer, std::unique_ptr<stream_socket> socket, duration idleLimit)
 {
     auto& connections = m_idle[peer];
-    if (connections.size() >= mostIdlePerPeer || !socket->isConnected() || idleLimit <= duration::zero())
+    if (connections.size() >= maxIdlePerPeer || !socket->isConnected() || idleLimit <= duration::zero())
         return socket;
-    auto& kept = connections.emplace_back(*this, peer, std::move(socket));
-    kept.since = boot_clock::now();
-    kept.until = kept.since + idleLimit;
+    auto& added = connections.emplace_back(*this, peer, std::move(socket));
+    added.idleSince = boot_clock::now();
+    added.expiresAt = added.idleSince + idleLimit;
     return nullptr;
 }
 
@@ -67,7 +67,7 @@
 {
     const auto now = boot_clock::now();
     for (auto& [peer, connections] : m_idle)
-        connections.remove_if([&](const idle_connection& item) { return now >= item.until; });
+        connections.remove_if([&](const idle_connection& item) { return now >= item.expiresAt; });
     std::erase_if(m_idle, [](const auto& item) { return item.second.empty(); });
 }
 
--- a/libs/http/src/connection_pool.h
+++ b/libs/http/src/connection_pool.h
@@ -1,4 +1,4 @@
-// Idle connections by peer, for exchanges that may use one again.
+// Provides a pool of idle connections by peer, for reuse by later exchanges.
 #pragma once
 
 #include "stream_socket.h"
@@ -13,19 +13,19 @@
 public:
     connection_pool();
 
-    /// The connection that was used last, if one has been idle for less than `longestIdle`.
-    std::unique_ptr<stream_socket> take(const endpoint& peer, duration longestIdle);
-    /// Keeps a connection for at most `idleLimit`. Returns it if it is not kept.
-    std::unique_ptr<stream_socket> give(
+    /// Returns the most recently used connection to `peer` if it has been idle for less than `maxIdleTime`, else null.
+    std::unique_ptr<stream_socket> take(const endpoint& peer, duration maxIdleTime);
+    /// Adds a connection to the pool for at most `idleLimit`. Returns the connection if the pool does not accept it.
+    std::unique_ptr<stream_socket> addIdle(
         const endpoint& peer, std::unique_ptr<stream_socket> socket, duration idleLimit);
-    void forget(const endpoint& peer) { m_idle.erase(peer); }
+    void closeIdleConnections(const endpoint& peer) { m_idle.erase(peer); }
 
     std::uint64_t connectionsMade = 0;
 
 private:
-    /// A connection that receives or ends while it is idle is dropped at once.
+    /// A connection that receives bytes or ends while it is idle is removed at once.
     struct idle_connection : stream_listener {
-        idle_connection(connection_pool& owner, const endpoint& address, std::unique_ptr<stream_socket> given);
+        idle_connection(connection_pool& owner, const endpoint& address, std::unique_ptr<stream_socket> idleSocket);
 
         void onReadable() override { pool.drop(*this); }
         void onEnded(stream_end) override { pool.drop(*this); }
@@ -33,14 +33,14 @@
         connection_pool& pool;
         endpoint peer;
         std::unique_ptr<stream_socket> socket;
-        instant since;
-        instant until;
+        instant idleSince;
+        instant expiresAt;
     };
 
     void drop(const idle_connection& dropped);
     void sweep();
 
-    std::map<endpoint, std::list<idle_connection>> m_idle; // of each peer the one used last is at the back
+    std::map<endpoint, std::list<idle_connection>> m_idle; // the most recently used one of each peer is last
     QTimer m_sweepTimer;
 };
 
--- a/libs/http/src/event_stream.cpp
+++ b/libs/http/src/event_stream.cpp
@@ -1,4 +1,4 @@
-// Server-sent events, as far as a relay has to understand them.
+// Implements the subset of server-sent event parsing that a relay needs: event boundaries, `id` and `data`.
 #include "http/event_stream.h"
 
 #include "http/http_message.h"
--- a/libs/http/src/http_client.cpp
+++ b/libs/http/src/http_client.cpp
@@ -1,5 +1,6 @@
-// The client side: Boost.Beast parses, stream_socket carries. QNetworkAccessManager is not used here, since it sends a
-// POST again by itself when the peer closes without an answer, which would break at-most-once below our code.
+// Implements the HTTP client with the parser of Boost.Beast on top of stream_socket. QNetworkAccessManager is not used,
+// because it resends a POST by itself if the peer closes the connection without a response, which would break
+// at-most-once delivery.
 #include "http/http_client.h"
 
 #include "connection_pool.h"
@@ -17,11 +18,12 @@
     using namespace std::chrono_literals;
     using detail::stream_end;
 
-    /// A peer closes what it kept for as long as it said; left for what is on its way meanwhile.
+    /// Subtracted from the idle timeout that the peer announces, so that a request in transit does not arrive after the
+    /// peer has closed the connection.
     constexpr duration keepAliveMargin = 250ms;
-    constexpr duration usualIdleLimit = 60s;
+    constexpr duration defaultIdleLimit = 60s;
 
-    std::string requestText(const endpoint& peer, const http_request& request)
+    std::string serializeRequest(const endpoint& peer, const http_request& request)
     {
         std::string text = request.method + " " + request.target + " HTTP/1.1\r\n";
         if (!request.headers.has("Host"))
@@ -36,18 +38,18 @@
         return text;
     }
 
-    /// How long the peer will keep the connection, from `Keep-Alive: timeout=N`.
-    duration idleLimitOf(std::string_view keepAlive)
+    /// Returns how long an idle connection can be reused, from the value of a `Keep-Alive: timeout=N` header.
+    duration parseIdleLimit(std::string_view keepAlive)
     {
         const auto at = keepAlive.find("timeout=");
         if (at == std::string_view::npos)
-            return usualIdleLimit;
+            return defaultIdleLimit;
         auto text = keepAlive.substr(at + std::string_view("timeout=").size());
         text = text.substr(0, text.find_first_not_of("0123456789"));
         const auto value = parseNumber(text);
         if (!value)
             return 0s;
-        return std::clamp<duration>(std::chrono::seconds(*value) - keepAliveMargin, 0s, usualIdleLimit);
+        return std::clamp<duration>(std::chrono::seconds(*value) - keepAliveMargin, 0s, defaultIdleLimit);
     }
 
     int milliseconds(duration d)
@@ -81,7 +83,7 @@
             const exchange_options& options, exchange_handlers handlers)
             : m_pool(&pool)
             , m_peer(std::move(peer))
-            , m_text(requestText(m_peer, request))
+            , m_text(serializeRequest(m_peer, request))
             , m_options(options)
             , m_handlers(std::make_shared<exchange_handlers>(std::move(handlers)))
             , m_isHead(request.method == "HEAD")
@@ -95,7 +97,7 @@
             QObject::connect(&m_timer, &QTimer::timeout, &m_timer, [this] { fail("timed out", true); });
             startParser();
             if (!m_options.freshConnection)
-                m_socket = m_pool->take(m_peer, m_options.longestIdle);
+                m_socket = m_pool->take(m_peer, m_options.maxIdleTime);
             if (m_socket) {
                 m_socket->setListener(*this);
                 return send();
@@ -111,7 +113,7 @@
             release(false);
         }
 
-        duration keptFor() const override { return m_keptFor; }
+        duration reusableFor() const override { return m_reusableFor; }
 
         void setReading(bool reading) override
         {
@@ -119,7 +121,7 @@
                 return;
             m_socket->setReading(reading);
             if (!reading)
-                return m_timer.stop(); // the silence is ours, not the peer's
+                return m_timer.stop(); // no bytes are expected while reading is paused
             m_timer.start(milliseconds(m_options.silenceTimeout));
         }
 
@@ -151,7 +153,7 @@
             m_timer.start(milliseconds(m_options.silenceTimeout));
             parse();
             if (m_socket && end != stream_end::none)
-                peerEnded(end);
+                onPeerEnd(end);
         }
 
         void parse()
@@ -163,15 +165,15 @@
                 if (error && error != beast_http::error::need_more)
                     return fail("answer is not HTTP: " + error.message(), false);
                 deliver();
-                if (m_socket && m_parser->is_done() && !messageDone())
+                if (m_socket && m_parser->is_done() && !handleMessageEnd())
                     return;
                 if (used == 0)
                     return;
             }
         }
 
-        /// Whether a further message is to be read.
-        bool messageDone()
+        /// Returns whether another message must be read.
+        bool handleMessageEnd()
         {
             if (!m_isSkipped) {
                 end();
@@ -183,7 +185,7 @@
 
         void deliver()
         {
-            // Held here: a handler may cancel the exchange, which would destroy the very function that is running.
+            // Keeps the handlers alive: a handler may cancel the exchange, which would destroy the running function.
             const auto handlers = m_handlers;
             if (!handlers)
                 return;
@@ -213,15 +215,15 @@
             m_isSkipped = head.status < firstFinalStatus || (handlers.accepts && !handlers.accepts(head));
             if (m_isSkipped)
                 return;
-            m_idleLimit = idleLimitOf(head.headers.find("Keep-Alive"));
+            m_idleLimit = parseIdleLimit(head.headers.find("Keep-Alive"));
             if (handlers.onHead)
                 handlers.onHead(head);
         }
 
         void end()
         {
-            // Bytes after the end belong to nobody's request, and a peer that answered before it had the whole request
-            // would take the rest for another one: such a connection is never reused.
+            // A connection is not reused if bytes follow the response, since they belong to no request, or if part of
+            // the request is unsent, since the peer would take the rest for another request.
             const bool reusable = m_options.keepConnection && m_parser->keep_alive() && m_buffer.empty()
                 && m_socket->bytesQueued() == 0;
             const auto handlers = std::move(m_handlers);
@@ -231,11 +233,11 @@
                 handlers->onEnd();
         }
 
-        void peerEnded(stream_end reason)
+        void onPeerEnd(stream_end reason)
         {
             if (reason != stream_end::finished)
                 return fail("connection broken off", false);
-            // Beast asserts that put_eof() follows at least one byte; a peer may close before it has sent any.
+            // Beast asserts that at least one byte precedes put_eof(), but a peer may close before it has sent any.
             if (!m_parser->got_some())
                 return fail("peer closed without an answer", false);
             boost::system::error_code error;
@@ -266,13 +268,13 @@
             m_timer.stop();
             if (!m_socket)
                 return;
-            auto dropped = reusable ? m_pool->give(m_peer, std::move(m_socket), m_idleLimit) : std::move(m_socket);
-            if (dropped)
-                dropped->reset();
+            auto discarded = reusable ? m_pool->addIdle(m_peer, std::move(m_socket), m_idleLimit) : std::move(m_socket);
+            if (discarded)
+                discarded->reset();
             else
-                m_keptFor = m_idleLimit;
-            // Destroying this object inside one of its own calls would be use after free.
-            QTimer::singleShot(0, [self = std::move(m_self), socket = std::shared_ptr(std::move(dropped))] {});
+                m_reusableFor = m_idleLimit;
+            // Deferred, because destroying this object inside one of its own calls would be a use after free.
+            QTimer::singleShot(0, [self = std::move(m_self), socket = std::shared_ptr(std::move(discarded))] {});
         }
 
         detail::connection_pool* m_pool;
@@ -284,13 +286,13 @@
         std::optional<beast_http::response_parser<beast_http::string_body>> m_parser;
         std::string m_buffer;
         QTimer m_timer;
-        duration m_idleLimit = usualIdleLimit;
-        duration m_keptFor = duration::zero();
+        duration m_idleLimit = defaultIdleLimit;
+        duration m_reusableFor = duration::zero();
         std::shared_ptr<pooled_exchange> m_self; // keeps a running exchange alive
-        bool m_isHead; // the request is HEAD, whose answer has no body
+        bool m_isHead; // the request is HEAD, whose response has no body
         bool m_mayHaveReached = false;
         bool m_isHeadDone = false;
-        bool m_isSkipped = false; // the message being read is not this exchange's answer
+        bool m_isSkipped = false; // the message being read is not the response to this exchange
     };
 
 }
@@ -329,7 +331,7 @@
     return start(peer, request, options, std::move(handlers));
 }
 
-void http_client::forget(const endpoint& peer) { m_state->pool.forget(peer); }
+void http_client::closeIdleConnections(const endpoint& peer) { m_state->pool.closeIdleConnections(peer); }
 
 std::uint64_t http_client::connectionsMade() const { return m_state->pool.connectionsMade; }
 
--- a/libs/http/src/http_message.cpp
+++ b/libs/http/src/http_message.cpp
@@ -1,4 +1,4 @@
-// Header look-ups and small text helpers.
+// Implements header lookups and the parsing of numbers.
 #include "http/http_message.h"
 
 #include <algorithm>
--- a/libs/http/src/http_server.cpp
+++ b/libs/http/src/http_server.cpp
@@ -1,4 +1,4 @@
-// Accepts connections; server_connection does the rest.
+// Implements the server's listening socket. The handling of a connection is in server_connection.
 #include "http/http_server.h"
 
 #include "server_connection.h"
@@ -24,14 +24,14 @@
 {
     m_started = true;
     if (m_connection)
-        m_connection->sendHead(head, answer_framing::chunked, 0);
+        m_connection->sendHead(head, response_framing::chunked, 0);
 }
 
 void response_writer::startSized(const http_response_head& head, std::uint64_t bodyBytes)
 {
     m_started = true;
     if (m_connection)
-        m_connection->sendHead(head, answer_framing::sized, bodyBytes);
+        m_connection->sendHead(head, response_framing::sized, bodyBytes);
 }
 
 void response_writer::write(std::string_view bytes)
@@ -64,7 +64,7 @@
 
     constexpr int listenBacklog = 1024;
 
-    /// Hands over bare descriptors instead of Qt's sockets.
+    /// Passes accepted file descriptors on without creating Qt socket objects.
     class descriptor_server : public QTcpServer {
     public:
         std::function<void(int)> onAccepted;
@@ -77,7 +77,7 @@
 
 struct http_server::state {
     std::shared_ptr<detail::server_shared> shared = std::make_shared<detail::server_shared>();
-    QObject connections; // parent of every connection, so that they end with the server
+    QObject connections; // parent of all connections, which are destroyed with the server
     descriptor_server server;
 
     void accepted(int descriptor)
@@ -91,7 +91,7 @@
     }
 };
 
-http_server::http_server(http_server_limits limits, request_handler onRequest, refusal_maker onRefusal)
+http_server::http_server(http_server_limits limits, request_handler onRequest, refusal_handler onRefusal)
     : m_state(std::make_unique<state>())
 {
     m_state->shared->limits = limits;
@@ -121,7 +121,7 @@
     for (QObject* child : m_state->connections.children()) {
         auto* connection = static_cast<detail::server_connection*>(child);
         if (connection->isIdle())
-            connection->closeGently();
+            connection->closeGracefully();
     }
 }
 
--- a/libs/http/src/request_reader.cpp
+++ b/libs/http/src/request_reader.cpp
@@ -1,4 +1,4 @@
-// Boost.Beast with strict rules for framing.
+// Implements the request parser with Boost.Beast and stricter framing rules.
 #include "request_reader.h"
 
 #include <algorithm>
@@ -10,7 +10,7 @@
 
 namespace {
 
-    // Line ends before a request, which some clients send after a body, are passed over.
+    // Skips empty lines before a request, which some clients send after a body.
     void skipBlankLines(std::string& input)
     {
         const auto first = std::min(input.find_first_not_of("\r\n"), input.size());
@@ -47,10 +47,9 @@
     return refuse(error_kind::bad_request, error.message());
 }
 
-// What goes wrong without it: a request hidden in the body of another is run for a caller who never sent it, because
-// this reader and a target's disagree about where the first one ends. Every head with more than one way to read its
-// length is refused.
-std::string request_reader::headFault() const
+// Prevents request smuggling: if this parser and that of a target disagree on where a request ends, a request hidden in
+// the body of another is executed for a caller who never sent it. Every head with an ambiguous length is refused.
+std::string request_reader::findHeadError() const
 {
     const auto& head = m_parser->get();
     std::size_t lengths = 0;
@@ -82,7 +81,7 @@
 {
     if (m_state == reader_state::empty)
         skipBlankLines(input);
-    while (!input.empty() && m_state != reader_state::whole && m_state != reader_state::refused) {
+    while (!input.empty() && m_state != reader_state::complete && m_state != reader_state::refused) {
         boost::system::error_code error;
         const auto used = m_parser->put(boost::asio::buffer(input), error);
         input.erase(0, used);
@@ -91,11 +90,11 @@
         m_state = m_parser->is_header_done() ? reader_state::body : reader_state::head;
         if (m_state == reader_state::body && !m_isHeadChecked) {
             m_isHeadChecked = true;
-            if (auto fault = headFault(); !fault.empty())
+            if (auto fault = findHeadError(); !fault.empty())
                 return refuse(error_kind::bad_request, std::move(fault));
         }
         if (m_parser->is_done())
-            m_state = reader_state::whole;
+            m_state = reader_state::complete;
         if (used == 0)
             break;
     }
@@ -110,7 +109,7 @@
     return equalsIgnoreCase({ expected.data(), expected.size() }, "100-continue");
 }
 
-std::size_t request_reader::bodyBytesHeld() const { return m_parser->get().body().size(); }
+std::size_t request_reader::bodyBytesBuffered() const { return m_parser->get().body().size(); }
 
 http_request request_reader::take()
 {
--- a/libs/http/src/request_reader.h
+++ b/libs/http/src/request_reader.h
@@ -1,4 +1,4 @@
-// Takes requests out of a byte stream, strictly: what two readers could understand differently is refused.
+// Provides a strict HTTP request parser that rejects requests with ambiguous framing.
 #pragma once
 
 #include "base/error_kind.h"
@@ -12,27 +12,27 @@
 namespace tamarack::detail {
 
 enum class reader_state : unsigned char {
-    empty, ///< no byte of a request has come
-    head, ///< in the middle of the head
-    body,
-    whole, ///< take() the request
-    refused
+    empty, ///< no byte of a request has arrived
+    head, ///< the head is incomplete
+    body, ///< the body is incomplete
+    complete, ///< take() returns the request
+    refused ///< the input is malformed or exceeds a limit
 };
 
-/// Boost.Beast parses; this adds the rules against smuggling. After a refusal nothing more can be read, since it is not
-/// known where the next request would begin.
+/// Parses requests with Boost.Beast and adds checks against request smuggling. After a refusal no further request can
+/// be read, because it is unknown where the next one begins.
 class request_reader {
 public:
     request_reader(std::uint32_t headerBytes, std::uint64_t bodyBytes) { restart(headerBytes, bodyBytes); }
 
-    /// Begins the next request.
+    /// Prepares for the next request.
     void restart(std::uint32_t headerBytes, std::uint64_t bodyBytes);
-    /// Reads on; `input` keeps what belongs to later requests.
+    /// Parses `input` and removes the bytes consumed. Bytes of later requests remain in `input`.
     reader_state feed(std::string& input);
     reader_state state() const { return m_state; }
-    /// Whether the caller waits for a go-ahead before it sends its body.
+    /// Whether the caller expects `100 Continue` before it sends the body.
     bool awaitsContinue() const;
-    std::size_t bodyBytesHeld() const;
+    std::size_t bodyBytesBuffered() const;
     http_request take();
     /// Whether the connection may carry another request after this one.
     bool keepsAlive() const { return m_keepsAlive; }
@@ -45,8 +45,8 @@
 
     reader_state refuse(error_kind kind, std::string detail);
     reader_state refuse(const boost::system::error_code& error);
-    /// What is wrong with the head; empty if nothing.
-    std::string headFault() const;
+    /// Returns a description of the first framing error in the head, or an empty string.
+    std::string findHeadError() const;
 
     std::optional<parser_type> m_parser;
     reader_state m_state = reader_state::empty;
--- a/libs/http/src/server_connection.cpp
+++ b/libs/http/src/server_connection.cpp
@@ -1,4 +1,4 @@
-// Boost.Beast parses, stream_socket carries.
+// Implements the server side of a connection with request_reader on top of stream_socket.
 #include "server_connection.h"
 
 #include <boost/beast/http/status.hpp>
@@ -10,12 +10,12 @@
 
     using namespace std::chrono_literals;
 
-    /// Closing at once while bytes of the caller are on their way makes the kernel send a reset, which can overtake the
-    /// answer. The caller gets this long to read it and to close.
+    /// Time for the caller to read the response and close the connection. If the server closed at once while bytes of
+    /// the caller are in transit, the kernel would send a reset, which can overtake the response.
     constexpr auto lingerTime = 1s;
-    /// Bytes of further requests kept while one is answered. Beyond them reading stops, and so does the notice of a
-    /// caller that leaves; no caller that waits for its answers sends so much.
-    constexpr std::size_t mostPipelinedBytes = 64 * 1024;
+    /// Maximum bytes of further requests to buffer while one is being handled. Beyond this limit, reading stops and a
+    /// disconnect of the caller is no longer detected. A caller that waits for its responses does not reach it.
+    constexpr std::size_t maxPipelinedBytes = 64 * 1024;
 
     std::string statusLine(int status)
     {
@@ -55,23 +55,23 @@
 {
     ++m_shared->connections;
     m_timer.setSingleShot(true);
-    connect(&m_timer, &QTimer::timeout, this, [this] { timedOut(); });
+    connect(&m_timer, &QTimer::timeout, this, [this] { onTimeout(); });
     m_timer.start(milliseconds(m_shared->limits.idleTimeout));
 }
 
 server_connection::~server_connection()
 {
     --m_shared->connections;
-    countHeldBytes(0);
+    updateBodyBytes(0);
     if (const auto writer = detachWriter(); writer && writer->onClosed)
         writer->onClosed();
 }
 
-void server_connection::countHeldBytes(std::size_t held)
+void server_connection::updateBodyBytes(std::size_t buffered)
 {
-    m_shared->heldBytes += held;
-    m_shared->heldBytes -= m_heldBytes;
-    m_heldBytes = held;
+    m_shared->totalBodyBytes += buffered;
+    m_shared->totalBodyBytes -= m_bodyBytes;
+    m_bodyBytes = buffered;
 }
 
 void server_connection::onReadable()
@@ -80,8 +80,8 @@
     if (m_isLingering)
         m_input.clear();
     if (end != stream_end::none)
-        return closed();
-    if (m_writer && m_input.size() > mostPipelinedBytes)
+        return handleClosed();
+    if (m_writer && m_input.size() > maxPipelinedBytes)
         m_socket.setReading(false);
     process();
 }
@@ -94,32 +94,32 @@
     const auto state = m_reader.feed(m_input);
     if (state == reader_state::refused)
         return refuse(m_reader.refusalKind(), m_reader.refusalDetail());
-    countHeldBytes(m_reader.bodyBytesHeld());
-    if (m_shared->heldBytes > m_shared->limits.heldBytes)
+    updateBodyBytes(m_reader.bodyBytesBuffered());
+    if (m_shared->totalBodyBytes > m_shared->limits.totalBodyBytes)
         return refuse(error_kind::overloaded, "too many bytes of request bodies are held");
-    if (state == reader_state::whole)
+    if (state == reader_state::complete)
         return dispatch();
     if (m_reader.awaitsContinue() && !m_sentContinue) {
         m_sentContinue = true;
         m_socket.write("HTTP/1.1 100 Continue\r\n\r\n");
     }
-    watchProgress(before);
+    restartReadTimer(before);
 }
 
-void server_connection::watchProgress(reader_state before)
+void server_connection::restartReadTimer(reader_state before)
 {
     const auto state = m_reader.state();
     if (state == reader_state::head && before == reader_state::empty)
         m_timer.start(milliseconds(m_shared->limits.headerTimeout));
     if (state == reader_state::body)
-        m_timer.start(milliseconds(m_shared->limits.bodySilence));
+        m_timer.start(milliseconds(m_shared->limits.bodyReadTimeout));
 }
 
 void server_connection::dispatch()
 {
     m_timer.stop();
     http_request request = m_reader.take();
-    countHeldBytes(0);
+    updateBodyBytes(0);
     m_keepsAlive = m_reader.keepsAlive();
     m_isHttp10 = m_reader.isHttp10();
     m_isHead = request.method == "HEAD";
@@ -130,7 +130,7 @@
 void server_connection::refuse(error_kind kind, std::string_view detail)
 {
     m_timer.stop();
-    countHeldBytes(0);
+    updateBodyBytes(0);
     m_keepsAlive = false;
     m_input.clear();
     m_writer = std::make_shared<response_writer>(this);
@@ -138,38 +138,38 @@
     writer->sendWhole(m_shared->onRefusal(kind, detail));
 }
 
-void server_connection::timedOut()
+void server_connection::onTimeout()
 {
     if (m_isLingering && m_socket.bytesQueued() > 0)
-        return m_timer.start(lingerTime); // the caller still takes its answer
+        return m_timer.start(lingerTime); // the caller is still receiving the response
     if (m_isLingering)
-        return closed();
+        return handleClosed();
     const auto state = m_reader.state();
     if (state == reader_state::head || state == reader_state::body)
         return refuse(error_kind::request_timeout, "the rest of the request did not come");
-    closeGently();
+    closeGracefully();
 }
 
-void server_connection::sendHead(const http_response_head& head, answer_framing framing, std::uint64_t length)
+void server_connection::sendHead(const http_response_head& head, response_framing framing, std::uint64_t length)
 {
     std::string text = statusLine(head.status);
     for (const auto& header : head.headers.entries)
         appendHeader(text, header.name, header.value);
     const bool isBodiless = m_isHead || head.status == 204 || head.status == 304;
     m_framing = framing;
-    if (framing == answer_framing::chunked && m_isHttp10)
-        m_framing = answer_framing::until_close;
-    if (m_framing == answer_framing::until_close || m_shared->isDraining)
+    if (framing == response_framing::chunked && m_isHttp10)
+        m_framing = response_framing::until_close;
+    if (m_framing == response_framing::until_close || m_shared->isDraining)
         m_keepsAlive = false;
-    if (m_framing == answer_framing::chunked && head.status != 204)
+    if (m_framing == response_framing::chunked && head.status != 204)
         appendHeader(text, "Transfer-Encoding", "chunked");
-    if (m_framing == answer_framing::sized && head.status != 204)
+    if (m_framing == response_framing::sized && head.status != 204)
         appendHeader(text, "Content-Length", std::to_string(length));
     if (!m_keepsAlive && !head.headers.has("Connection"))
         appendHeader(text, "Connection", "close");
     if (isBodiless)
-        m_framing = answer_framing::whole;
-    m_bodyLeft = length;
+        m_framing = response_framing::no_body;
+    m_bodyBytesLeft = length;
     m_unsentHead = text + "\r\n";
 }
 
@@ -185,38 +185,38 @@
 void server_connection::sendBody(std::string_view bytes)
 {
     switch (m_framing) {
-    case answer_framing::whole:
+    case response_framing::no_body:
         return;
-    case answer_framing::chunked:
+    case response_framing::chunked:
         return sendBytes(chunk(bytes));
-    case answer_framing::sized:
-        bytes = bytes.substr(0, m_bodyLeft);
-        m_bodyLeft -= bytes.size();
+    case response_framing::sized:
+        bytes = bytes.substr(0, m_bodyBytesLeft);
+        m_bodyBytesLeft -= bytes.size();
         return sendBytes(bytes);
-    case answer_framing::until_close:
+    case response_framing::until_close:
         return sendBytes(bytes);
     }
 }
 
 void server_connection::finishAnswer()
 {
-    if (m_framing == answer_framing::sized && m_bodyLeft > 0)
+    if (m_framing == response_framing::sized && m_bodyBytesLeft > 0)
         return abortAnswer(true);
-    sendBytes(m_framing == answer_framing::chunked ? "0\r\n\r\n" : "");
+    sendBytes(m_framing == response_framing::chunked ? "0\r\n\r\n" : "");
     detachWriter();
     if (m_keepsAlive)
         return readNextRequest();
-    closeGently();
+    closeGracefully();
 }
 
 void server_connection::readNextRequest()
 {
     m_reader.restart(m_shared->limits.headerBytes, m_shared->limits.bodyBytes);
     m_sentContinue = false;
-    m_framing = answer_framing::whole;
+    m_framing = response_framing::no_body;
     m_socket.setReading(true);
     m_timer.start(milliseconds(m_shared->limits.idleTimeout));
-    // Deferred: a handler that answers at once must not recurse through a pipeline of requests.
+    // Deferred, because a handler that responds immediately would otherwise recurse through pipelined requests.
     if (!m_input.empty())
         QTimer::singleShot(0, this, [this] { process(); });
 }
@@ -226,14 +226,15 @@
     detachWriter();
     m_timer.stop();
     m_unsentHead.clear();
-    // An answer that ends with its connection must not end in order; of the others the missing part shows.
-    if (whenWritten && m_framing != answer_framing::until_close)
-        return closeGently();
+    // A response that is delimited by the end of the connection needs a reset, since an orderly close would make it
+    // look complete. With any other framing the caller detects the missing part.
+    if (whenWritten && m_framing != response_framing::until_close)
+        return closeGracefully();
     m_socket.reset();
     deleteLater();
 }
 
-void server_connection::closeGently()
+void server_connection::closeGracefully()
 {
     m_isLingering = true;
     m_input.clear();
@@ -242,7 +243,7 @@
     m_timer.start(lingerTime);
 }
 
-void server_connection::closed()
+void server_connection::handleClosed()
 {
     m_timer.stop();
     m_socket.reset();
--- a/libs/http/src/server_connection.h
+++ b/libs/http/src/server_connection.h
@@ -1,4 +1,4 @@
-// One caller's connection: requests in, one after the other, and their answers out.
+// Provides the server side of one caller's connection, which handles its requests one after the other.
 #pragma once
 
 #include "http/http_server.h"
@@ -10,13 +10,13 @@
 
 namespace tamarack::detail {
 
-/// What the connections of one server share.
+/// The state shared by all connections of one server.
 struct server_shared {
     http_server_limits limits;
     http_server::request_handler onRequest;
-    http_server::refusal_maker onRefusal;
+    http_server::refusal_handler onRefusal;
     int connections = 0;
-    std::uint64_t heldBytes = 0; ///< of bodies that are still coming in
+    std::uint64_t totalBodyBytes = 0; ///< size of all bodies being received
     bool isDraining = false;
 };
 
@@ -25,47 +25,48 @@
     server_connection(int descriptor, std::shared_ptr<server_shared> shared);
     ~server_connection() override;
 
-    void sendHead(const http_response_head& head, answer_framing framing, std::uint64_t length);
+    void sendHead(const http_response_head& head, response_framing framing, std::uint64_t length);
     void sendBody(std::string_view bytes);
     void finishAnswer();
     std::size_t bytesQueued() const { return m_socket.bytesQueued(); }
-    /// Breaks the answer off so that no part of it can be taken for the whole.
+    /// Ends the response early, such that the caller cannot mistake the truncated response for a complete one. If
+    /// `whenWritten` is set, the bytes written so far are sent first where that is possible.
     void abortAnswer(bool whenWritten);
     bool isIdle() const { return !m_writer && m_reader.state() == reader_state::empty && !m_isLingering; }
-    /// Ends the connection in order, for a peer that has no request on it.
-    void closeGently();
+    /// Closes the connection with an orderly TCP shutdown after all queued bytes have been sent.
+    void closeGracefully();
 
 private:
     void onReadable() override;
     void onWritten() override;
-    void onEnded(stream_end) override { closed(); }
+    void onEnded(stream_end) override { handleClosed(); }
 
     void sendBytes(std::string_view bytes);
     void process();
-    void watchProgress(reader_state before);
+    void restartReadTimer(reader_state before);
     void dispatch();
     void refuse(error_kind kind, std::string_view detail);
-    void timedOut();
+    void onTimeout();
     void readNextRequest();
-    void countHeldBytes(std::size_t held);
-    void closed();
+    void updateBodyBytes(std::size_t buffered);
+    void handleClosed();
     std::shared_ptr<response_writer> detachWriter();
 
     std::shared_ptr<server_shared> m_shared;
     stream_socket m_socket;
     request_reader m_reader;
     std::string m_input; // received, not yet parsed
-    std::shared_ptr<response_writer> m_writer; // set while a request is being answered
-    QTimer m_timer; // of whatever the caller has to do next
-    std::string m_unsentHead; // goes with the first bytes of the body, in one packet
-    std::uint64_t m_bodyLeft = 0; // of a sized answer
-    std::size_t m_heldBytes = 0; // this connection's part of server_shared::heldBytes
-    answer_framing m_framing = answer_framing::whole;
+    std::shared_ptr<response_writer> m_writer; // set while a request is being handled
+    QTimer m_timer; // timeout of the next action of the caller
+    std::string m_unsentHead; // sent in one packet with the first bytes of the body
+    std::uint64_t m_bodyBytesLeft = 0; // unsent rest of a response with a known length
+    std::size_t m_bodyBytes = 0; // this connection's part of server_shared::totalBodyBytes
+    response_framing m_framing = response_framing::no_body;
     bool m_keepsAlive = true;
     bool m_isHttp10 = false;
-    bool m_isHead = false; // the answer to HEAD has no body
+    bool m_isHead = false; // the response to HEAD has no body
     bool m_sentContinue = false;
-    bool m_isLingering = false; // all was said; what the caller still sends is dropped
+    bool m_isLingering = false; // the response is complete; further bytes of the caller are discarded
 };
 
 }
--- a/libs/http/src/stream_socket.cpp
+++ b/libs/http/src/stream_socket.cpp
@@ -1,4 +1,4 @@
-// Non-blocking sockets behind QSocketNotifier.
+// Implements the TCP connection with a non-blocking socket and QSocketNotifier.
 #include "stream_socket.h"
 
 #include <QTimer>
@@ -16,20 +16,21 @@
 
 namespace {
 
-    // What goes wrong without it: a request buffered in the kernel of a cut-off VM is still delivered when the network
-    // heals, long after its sender has given up. docs/INVARIANTS.md counts on this bound for abandoned orders.
+    // Bounds how long the kernel retransmits. Without it, a request buffered in the kernel of an isolated VM would
+    // still be delivered when the network recovers, long after the sender has timed out. docs/INVARIANTS.md relies on
+    // this bound for abandoned orders.
     constexpr unsigned userTimeoutMilliseconds = 10'000;
 
-    constexpr std::size_t readBytes = 64 * 1024; // taken from the kernel at a time
+    constexpr std::size_t readBufferBytes = 64 * 1024;
 
-    // Connections that something between the two ends has lost are noticed only by probes.
+    // Only keep-alive probes detect an idle connection that was lost by a device between the two ends.
     constexpr int keepAliveIdleSeconds = 5;
     constexpr int keepAliveIntervalSeconds = 2;
     constexpr int keepAliveProbes = 3;
 
     void setOption(int descriptor, int level, int name, int value)
     {
-        // An option that the system does not know costs a bound, not the connection.
+        // Errors are ignored: without an unsupported option the connection lacks a bound but still works.
         setsockopt(descriptor, level, name, &value, sizeof value);
     }
 
@@ -49,7 +50,7 @@
             return;
         notifier->setEnabled(false);
         notifier->disconnect();
-        notifier->deleteLater(); // it may be the one whose signal is being delivered
+        notifier->deleteLater(); // its signal may be the one being delivered
     }
 
     int openNonBlocking() { return socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0); }
@@ -71,11 +72,11 @@
         setOptions(m_descriptor);
         const int result = ::connect(m_descriptor, reinterpret_cast<sockaddr*>(&address), sizeof address);
         if (result == 0 || errno == EINPROGRESS) {
-            watch();
+            createNotifiers();
             return;
         }
     }
-    // The caller has not kept this object yet, so the end is told from the event loop.
+    // Reported from the event loop, because the creator does not hold a pointer to this object yet.
     QTimer::singleShot(0, [this, alive = m_alive] {
         if (*alive)
             end(stream_end::refused);
@@ -92,7 +93,7 @@
 {
     fcntl(descriptor, F_SETFL, fcntl(descriptor, F_GETFL) | O_NONBLOCK);
     setOptions(descriptor);
-    watch();
+    createNotifiers();
 }
 
 stream_socket::~stream_socket()
@@ -101,7 +102,7 @@
     closeDescriptor();
 }
 
-void stream_socket::watch()
+void stream_socket::createNotifiers()
 {
     m_readNotifier.reset(new QSocketNotifier(m_descriptor, QSocketNotifier::Read));
     m_writeNotifier.reset(new QSocketNotifier(m_descriptor, QSocketNotifier::Write));
@@ -110,10 +111,10 @@
     QObject::connect(
         m_readNotifier.get(), &QSocketNotifier::activated, m_readNotifier.get(), [this] { m_listener->onReadable(); });
     QObject::connect(
-        m_writeNotifier.get(), &QSocketNotifier::activated, m_writeNotifier.get(), [this] { activatedForWriting(); });
+        m_writeNotifier.get(), &QSocketNotifier::activated, m_writeNotifier.get(), [this] { onWritable(); });
 }
 
-void stream_socket::activatedForWriting()
+void stream_socket::onWritable()
 {
     if (m_state != state::connecting)
         return flush();
@@ -133,8 +134,8 @@
 
 stream_end stream_socket::read(std::string& out)
 {
-    // One for all sockets, since no call on a socket runs inside of another's recv().
-    static std::array<char, readBytes> buffer;
+    // Shared by all sockets: everything runs on one thread, and no call on a socket runs during the recv() of another.
+    static std::array<char, readBufferBytes> buffer;
     if (m_state != state::open)
         return stream_end::none;
     const auto count = ::recv(m_descriptor, buffer.data(), buffer.size(), 0);
@@ -143,7 +144,7 @@
     if (count > 0 || (count < 0 && (errno == EAGAIN || errno == EINTR)))
         return stream_end::none;
     const bool isReset = count < 0 && errno == ECONNRESET;
-    m_readNotifier->setEnabled(false); // else it tells of the end for ever
+    m_readNotifier->setEnabled(false); // otherwise it would signal the end repeatedly
     if (count == 0)
         return stream_end::finished;
     return isReset ? stream_end::reset : stream_end::failed;
@@ -158,7 +159,7 @@
         bytes.remove_prefix(static_cast<std::size_t>(std::max<ssize_t>(count, 0)));
         if (bytes.empty())
             return;
-        m_writeNotifier->setEnabled(true); // it also tells of a failure, from the event loop
+        m_writeNotifier->setEnabled(true); // a failure is also reported through the notifier, from the event loop
     }
     m_outgoing += bytes;
 }
--- a/libs/http/src/stream_socket.h
+++ b/libs/http/src/stream_socket.h
@@ -1,5 +1,6 @@
-// A TCP connection on the event loop. QTcpSocket is not used: it reports a connection reset as an ordinary end, and an
-// answer that ends with its connection is whole only after an ordinary end.
+// Provides a non-blocking TCP connection on the event loop. QTcpSocket is not used, because it reports a connection
+// reset as an orderly end, and a response that is delimited by the end of the connection is complete only after an
+// orderly end.
 #pragma once
 
 #include "http/http_client.h"
@@ -13,33 +14,35 @@
 
 enum class stream_end : unsigned char {
     none,
-    finished, ///< the peer has sent all it wanted to send
-    reset, ///< broken off: what came before may be a part only
-    refused, ///< never connected, so no byte has left
+    finished, ///< the peer has closed its sending side in order
+    reset, ///< connection reset: the bytes received may be incomplete
+    refused, ///< the connection was not established, so no byte was sent
     failed
 };
 
+/// Receives the events of a stream_socket.
 class stream_listener {
 public:
     virtual void onConnected() { }
-    /// Bytes wait to be read, or the peer has ended.
+    /// Called when bytes can be read, or when the peer has closed or reset the connection.
     virtual void onReadable() = 0;
-    /// What had to be queued was given to the kernel.
+    /// Called when all queued bytes have been passed to the kernel.
     virtual void onWritten() { }
-    /// Connecting or sending has failed; what the peer ended itself is told by read(). Called at most once, not from
-    /// inside a call on the socket, and last.
+    /// Called when connecting or sending has failed. An end that read() detects is reported by read() only. Called at
+    /// most once, as the last call, and never from inside a call on the socket.
     virtual void onEnded(stream_end end) = 0;
 
 protected:
     ~stream_listener() = default;
 };
 
-/// Owns one descriptor. Threading: the event loop's thread only. A listener may destroy the socket in any of its calls.
+/// Owns one file descriptor. Threading: the event loop's thread only. A listener may destroy the socket in any
+/// callback.
 class stream_socket {
 public:
-    /// Starts to connect; the end `refused` tells that it failed.
+    /// Starts to connect. A failure is reported as `stream_end::refused`.
     stream_socket(const endpoint& peer, stream_listener& listener);
-    /// Takes an accepted descriptor over.
+    /// Takes ownership of the descriptor of an accepted connection.
     stream_socket(int descriptor, stream_listener& listener);
     ~stream_socket();
     stream_socket(const stream_socket&) = delete;
@@ -47,23 +50,25 @@
 
     void setListener(stream_listener& listener) { m_listener = &listener; }
     bool isConnected() const { return m_state == state::open; }
-    /// Appends some of what has come to `out`. The end is told once all bytes before it were read.
+    /// Appends received bytes to `out`, not necessarily all of them. Returns the end of the connection only after all
+    /// bytes before it have been read.
     stream_end read(std::string& out);
-    /// Sends now what the kernel takes, and keeps the rest.
+    /// Passes to the kernel what it accepts now, and queues the rest.
     void write(std::string_view bytes);
     std::size_t bytesQueued() const { return m_outgoing.size() - m_sent; }
-    /// Stops or goes on telling of bytes; the peer's sends then stall. An end is not noticed meanwhile.
+    /// Pauses or resumes the calls of onReadable(). While they are paused, the peer's sends stall and an end of the
+    /// connection is not detected.
     void setReading(bool reading);
-    /// Tells the peer that nothing more comes, once everything queued has left.
+    /// Closes the sending side after all queued bytes have been sent.
     void finishWriting();
-    /// Drops what is queued here and in the kernel, and tells the peer so.
+    /// Resets the connection: discards the bytes queued here and in the kernel and sends a TCP reset.
     void reset();
 
 private:
     enum class state : unsigned char { connecting, open, ended };
 
-    void watch();
-    void activatedForWriting();
+    void createNotifiers();
+    void onWritable();
     void flush();
     void end(stream_end reason);
     void closeDescriptor();
@@ -74,7 +79,7 @@
     std::unique_ptr<QSocketNotifier, void (*)(QSocketNotifier*)> m_readNotifier;
     std::unique_ptr<QSocketNotifier, void (*)(QSocketNotifier*)> m_writeNotifier;
     std::string m_outgoing;
-    std::size_t m_sent = 0; // bytes of m_outgoing that the kernel has
+    std::size_t m_sent = 0; // bytes of m_outgoing already passed to the kernel
     bool m_isReading = true;
     bool m_isFinishing = false;
     std::shared_ptr<bool> m_alive; // false once this object is destroyed
--- a/libs/http/tests/http_fixture.h
+++ b/libs/http/tests/http_fixture.h
@@ -1,4 +1,4 @@
-// What the tests of the HTTP parts share: an event loop to spin, and peers that answer with fixed bytes.
+// Provides the helpers of the HTTP tests: running the event loop, peers with a fixed response, and raw exchanges.
 #pragma once
 
 #include "http/http_client.h"
@@ -12,7 +12,7 @@
 
 namespace tamarack::tests {
 
-/// Runs the event loop until `isDone`; fails the test if that takes implausibly long.
+/// Runs the event loop until `isDone` is true. Fails the test after 20 s.
 inline void spin(const bool& isDone)
 {
     QEventLoop loop;
@@ -27,7 +27,8 @@
     REQUIRE(isDone);
 }
 
-/// A peer that answers every connection with fixed bytes and then closes; counts the requests it saw.
+/// A peer that responds to each read with fixed bytes and then closes the connection unless `keepsOpen` is set. Counts
+/// the requests received.
 struct raw_peer {
     QTcpServer server;
     int requests = 0;
@@ -54,7 +55,7 @@
 
 struct outcome {
     bool isDone = false;
-    bool isWhole = false;
+    bool isComplete = false;
     http_response response;
     exchange_failure failure;
 };
@@ -64,7 +65,7 @@
     outcome result;
     client.fetch(
         peer, { "POST", "/x", {}, "body" }, options, [&](const http_response* response, const exchange_failure& f) {
-            result.isWhole = response != nullptr;
+            result.isComplete = response != nullptr;
             if (response)
                 result.response = *response;
             result.failure = f;
@@ -74,7 +75,7 @@
     return result;
 }
 
-/// Sends raw bytes to a server and collects what comes back until it closes.
+/// Sends raw bytes to a server and returns all bytes received until the server closes the connection.
 inline QByteArray exchangeRaw(quint16 port, const QByteArray& bytes)
 {
     QTcpSocket socket;
--- a/libs/http/tests/test_http.cpp
+++ b/libs/http/tests/test_http.cpp
@@ -1,4 +1,4 @@
-// The HTTP parts against each other and against peers that misbehave.
+// Tests of the event splitter, and of the HTTP client and server with each other and with misbehaving peers.
 #include "http/event_stream.h"
 #include "http/http_client.h"
 #include "http/http_server.h"
@@ -33,31 +33,30 @@
 
 TEST_CASE("test_request_is_sent_once_when_the_peer_closes_without_answer")
 {
-    // Symptom: a target runs a call twice although its caller asked once.
-    // Sequence: the peer reads the request and closes without a byte.
-    // Cause: a client library that sends again by itself.
+    // Guards against a target executing a request twice that its caller sent once. This happens if the peer reads the
+    // request and closes without a response, and the client library then resends the request by itself.
     http_client client;
     raw_peer peer("");
     const auto result = fetch(client, peer.address());
-    CHECK_FALSE(result.isWhole);
+    CHECK_FALSE(result.isComplete);
     CHECK(result.failure.mayHaveReachedPeer);
     CHECK(peer.requests == 1);
 }
 
-TEST_CASE("test_unreachable_peer_is_known_not_to_have_got_the_request")
+TEST_CASE("test_request_to_an_unreachable_peer_is_known_to_be_undelivered")
 {
     http_client client;
-    endpoint nobody;
+    endpoint closedPort;
     {
         raw_peer peer("");
-        nobody = peer.address();
+        closedPort = peer.address();
     }
-    const auto result = fetch(client, nobody);
-    CHECK_FALSE(result.isWhole);
+    const auto result = fetch(client, closedPort);
+    CHECK_FALSE(result.isComplete);
     CHECK_FALSE(result.failure.mayHaveReachedPeer);
 }
 
-TEST_CASE("test_answers_that_are_not_whole_are_failures")
+TEST_CASE("test_incomplete_or_malformed_answers_are_failures")
 {
     const char* const answers[] {
         "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf",
@@ -70,7 +69,7 @@
     for (const char* answer : answers) {
         raw_peer peer(answer);
         INFO(answer);
-        CHECK_FALSE(fetch(client, peer.address()).isWhole);
+        CHECK_FALSE(fetch(client, peer.address()).isComplete);
     }
     raw_peer whole("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwhole");
     CHECK(fetch(client, whole.address()).response.body == "whole");
@@ -89,9 +88,9 @@
 
 TEST_CASE("test_handler_may_cancel_its_own_exchange")
 {
-    // Symptom: a caller whose answer was refused by the relay waits for ever, or the node ends.
-    // Sequence: the head of an answer shows that it is crossed; the handler cancels the exchange and goes on.
-    // Cause: cancelling destroyed the function that was running.
+    // Guards against a crash of the node, or a caller that waits forever, after the relay has rejected a response. The
+    // head shows that the response belongs to another request, so the handler cancels the exchange and continues. The
+    // cancellation must not destroy the handler that is running.
     http_client client;
     raw_peer peer("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwhole");
     bool isDone = false;
@@ -107,17 +106,17 @@
     spin(isDone);
 }
 
-TEST_CASE("test_writes_after_the_caller_has_gone_are_safe")
+TEST_CASE("test_writes_after_the_caller_has_disconnected_are_safe")
 {
-    std::shared_ptr<response_writer> kept;
-    bool isGone = false;
+    std::shared_ptr<response_writer> savedWriter;
+    bool isDisconnected = false;
     http_server server(
         {},
         [&](http_request, std::shared_ptr<response_writer> caller) {
-            kept = caller;
+            savedWriter = caller;
             caller->startStream({ 200, {} });
             caller->write("first");
-            caller->onClosed = [&] { isGone = true; };
+            caller->onClosed = [&] { isDisconnected = true; };
         },
         [](error_kind, std::string_view) { return http_response {}; });
     REQUIRE(server.listen(QHostAddress::LocalHost, 0));
@@ -126,11 +125,11 @@
     exchange_handlers handlers;
     handlers.onBody = [&](std::string_view) { exchange->cancel(); };
     exchange = client.start({ "127.0.0.1", server.port() }, { "GET", "/", {}, "" }, {}, std::move(handlers));
-    spin(isGone);
-    kept->write("second");
-    kept->finish();
-    kept->abort();
-    CHECK_FALSE(kept->isOpen());
+    spin(isDisconnected);
+    savedWriter->write("second");
+    savedWriter->finish();
+    savedWriter->abort();
+    CHECK_FALSE(savedWriter->isOpen());
 }
 
 TEST_CASE("test_requests_on_one_connection_are_answered_in_order")
--- a/libs/http/tests/test_http_client.cpp
+++ b/libs/http/tests/test_http_client.cpp
@@ -1,4 +1,5 @@
-// The client against peers whose answers are late, foreign, unframed or broken off.
+// Tests of the HTTP client with peers whose responses are late, unsolicited, delimited by the end of the connection, or
+// truncated.
 #include "http_fixture.h"
 
 #include <sys/socket.h>
@@ -7,11 +8,11 @@
 using namespace tamarack::tests;
 using namespace std::chrono_literals;
 
-TEST_CASE("test_unframed_answer_is_whole_only_after_an_ordinary_end")
+TEST_CASE("test_answer_without_length_is_complete_only_after_an_orderly_close")
 {
-    // Symptom: a caller takes half an answer for the whole.
-    // Sequence: the answer has no length and ends with its connection; the target crashes in the middle.
-    // Cause: a reset reported as an ordinary end.
+    // Guards against a caller taking a truncated response for a complete one. A response without a length is delimited
+    // by the end of the connection. If the target crashes in the middle, the reset must not be reported as an orderly
+    // end.
     const QByteArray answer = "HTTP/1.1 200 OK\r\n\r\nhalf";
     for (const bool isReset : { false, true }) {
         INFO(isReset);
@@ -34,15 +35,15 @@
         });
         http_client client;
         const auto result = fetch(client, { "127.0.0.1", server.serverPort() });
-        CHECK(result.isWhole == !isReset);
+        CHECK(result.isComplete == !isReset);
     }
 }
 
-TEST_CASE("test_answer_that_belongs_to_nobody_is_passed_over")
+TEST_CASE("test_answer_to_an_earlier_request_is_skipped")
 {
-    // Symptom: a caller gets another one's answer, or loses its own.
-    // Sequence: a target answers an earlier request a second time, late, on a kept connection; the next request's
-    // answer follows. Cause: answers are taken in the order they come, whatever they answer.
+    // Guards against a caller receiving the response to another request, or losing its own. A target sends a late
+    // second response to an earlier request on a reused connection, followed by the response to the current request. A
+    // client that takes responses in the order of their arrival assigns them to the wrong requests.
     raw_peer peer("HTTP/1.1 200 OK\r\nX-Id: old\r\nContent-Length: 3\r\n\r\nold"
                   "HTTP/1.1 200 OK\r\nX-Id: new\r\nContent-Length: 3\r\n\r\nnew");
     http_client client;
@@ -74,7 +75,7 @@
     CHECK(client.connectionsMade() == 2);
 }
 
-TEST_CASE("test_connections_are_kept_no_longer_than_allowed")
+TEST_CASE("test_idle_connections_are_reused_no_longer_than_allowed")
 {
     raw_peer peer("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nyes");
     peer.keepsOpen = true;
@@ -83,10 +84,10 @@
     fetch(client, peer.address(), options);
     fetch(client, peer.address(), options);
     CHECK(client.connectionsMade() == 1);
-    options.longestIdle = 0ms;
+    options.maxIdleTime = 0ms;
     fetch(client, peer.address(), options);
     CHECK(client.connectionsMade() == 2);
-    options.longestIdle = 60s;
+    options.maxIdleTime = 60s;
     options.keepConnection = false;
     fetch(client, peer.address(), options);
     options.keepConnection = true;
@@ -94,7 +95,7 @@
     CHECK(client.connectionsMade() == 3);
 }
 
-TEST_CASE("test_peer_that_says_how_long_it_keeps_a_connection_is_believed")
+TEST_CASE("test_keep_alive_timeout_of_the_peer_is_respected")
 {
     raw_peer peer("HTTP/1.1 200 OK\r\nKeep-Alive: timeout=0\r\nContent-Length: 3\r\n\r\nyes");
     peer.keepsOpen = true;
@@ -106,10 +107,9 @@
 
 TEST_CASE("test_cancelled_request_is_not_delivered_later")
 {
-    // Symptom: a target works on a request whose caller was told long ago that it is given up.
-    // Sequence: the target does not read; the request stands in the kernel's buffers; the exchange is cancelled; the
-    // target reads on.
-    // Cause: an ordinary close delivers what is buffered.
+    // Guards against a target executing a request whose caller has long received a failure. The target stops reading,
+    // so the request stays in the kernel's buffers; the exchange is cancelled; then the target resumes reading. An
+    // orderly close would still deliver the buffered bytes.
     QTcpServer server;
     server.listen(QHostAddress::LocalHost, 0);
     QTcpSocket* accepted = nullptr;
--- a/libs/http/tests/test_http_server.cpp
+++ b/libs/http/tests/test_http_server.cpp
@@ -1,4 +1,4 @@
-// The server against callers that are slow, idle, or send what can be read in two ways.
+// Tests of the HTTP server with callers that are slow, idle, or send requests with ambiguous framing.
 #include "http_fixture.h"
 
 using namespace tamarack;
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Counts the requests that get through, and answers refusals with their kind.
+/// A server that counts the requests passed to its handler, and responds to refused input with the status of the error.
 struct counting_server {
     int requests = 0;
     http_server server;
@@ -30,12 +30,11 @@
 
 }
 
-TEST_CASE("test_requests_that_can_be_read_in_two_ways_are_refused")
+TEST_CASE("test_requests_with_ambiguous_framing_are_refused")
 {
-    // Symptom: a target runs a request that no caller sent.
-    // Sequence: a body holds what looks like another request, and the head gives two lengths, or a length and chunks,
-    // or a chunk size that one reader takes and another does not. Cause: this reader and the target's disagree about
-    // where the first request ends.
+    // Guards against request smuggling, where a target executes a request that no caller sent. The body contains what
+    // looks like another request, and the head has two lengths, or a length and a chunked coding, or a chunk size that
+    // only some parsers accept. This parser and that of the target then disagree on where the first request ends.
     const QByteArray smuggled = "GET /smuggled HTTP/1.1\r\nHost: x\r\n\r\n";
     const char* const heads[] {
         "Content-Length: 4\r\nContent-Length: 60\r\n",
@@ -61,7 +60,7 @@
     }
 }
 
-TEST_CASE("test_chunk_sizes_that_are_no_hexadecimal_numbers_are_refused")
+TEST_CASE("test_chunk_sizes_that_are_not_hexadecimal_are_refused")
 {
     const char* const bodies[] { "0x4\r\nabcd\r\n0\r\n\r\n", "+4\r\nabcd\r\n0\r\n\r\n", "4 \r\nabcd\r\n0\r\n\r\n",
         "-1\r\nabcd\r\n0\r\n\r\n", "ffffffffffffffffff\r\nabcd\r\n0\r\n\r\n", "\r\nabcd\r\n0\r\n\r\n",
@@ -81,7 +80,7 @@
     CHECK(answer.endsWith("/a|abcd0123456789"));
 }
 
-TEST_CASE("test_limits_have_their_own_answers")
+TEST_CASE("test_each_limit_has_its_own_status_code")
 {
     http_server_limits limits;
     limits.headerBytes = 200;
@@ -106,7 +105,7 @@
     CHECK(server.requests == 1);
 }
 
-TEST_CASE("test_draining_server_says_that_an_answer_is_the_last")
+TEST_CASE("test_draining_server_announces_the_close_of_the_connection")
 {
     counting_server server;
     server.server.beginDrain();
@@ -114,20 +113,19 @@
     CHECK(answer.contains("Connection: close"));
 }
 
-TEST_CASE("test_bodies_that_come_in_are_bounded_together")
+TEST_CASE("test_total_size_of_incoming_bodies_is_bounded")
 {
-    // Symptom: the process is ended by the system for its memory.
-    // Sequence: many callers send long bodies at a time.
-    // Cause: each is within its own limit, their sum is not.
+    // Guards against the operating system killing the process for its memory use. Many callers send long bodies at the
+    // same time; each body is within its own limit, but their sum is too large.
     http_server_limits limits;
-    limits.heldBytes = 1000;
+    limits.totalBodyBytes = 1000;
     counting_server server(limits);
     const auto answer
         = server.send("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 5000\r\n\r\n" + QByteArray(2000, 'b'));
     CHECK(answer.startsWith("HTTP/1.1 503"));
 }
 
-TEST_CASE("test_go_ahead_is_sent_to_callers_that_wait_for_it")
+TEST_CASE("test_100_continue_is_sent_to_callers_that_expect_it")
 {
     counting_server server;
     QTcpSocket socket;
