--- a/libs/serving/include/serving/dispatcher.h
+++ b/libs/serving/include/serving/dispatcher.h
@@ -49,7 +49,7 @@
     /// Sets the number of known nodes, reachable or not, including this one. 0 if the number is unknown.
     void setKnownNodes(int nodes);
 
-    /// Admits a new request. `out` may already contain its start or its refusal.
+    /// Admits a new request. If the request is started or refused at once, the command for this is added to `out`.
     request_id submit(serving_request request, instant now, command_list& out);
     /// The first bytes of the response have arrived from the target.
     void firstByteReceived(request_id request, attempt_id attempt, instant now);
--- a/libs/serving/include/serving/duty_assignment.h
+++ b/libs/serving/include/serving/duty_assignment.h
@@ -28,8 +28,9 @@
 const node_state* peerToAsk(
     const node_state& self, const std::vector<node_state>& alive, const std::function<bool(const node_state&)>& knows);
 
-/// Assigns many duties to the nodes of each availability zone. It is built once for all of them: with 300 nodes and
-/// 3,000 duties the cost per node matters.
+/// Assigns many duties to the nodes of each availability zone. One object serves all duties, so that the nodes are
+/// hashed and grouped by zone once and not again for each duty. With 300 nodes and 3,000 duties, repeating this work
+/// would be expensive.
 class zone_duties {
 public:
     zone_duties(const node_state& self, const std::vector<node_state>& alive);
--- a/libs/serving/include/serving/node_directory.h
+++ b/libs/serving/include/serving/node_directory.h
@@ -13,7 +13,7 @@
 
 /// Reachability of the store from a node.
 enum class store_reach : unsigned char {
-    unknown, ///< not tried yet, since peers supplied the data of the store
+    unknown, ///< not tried yet, because peers supplied the data of the store
     reached,
     lost ///< the last call failed
 };
--- a/libs/serving/include/serving/order_lease.h
+++ b/libs/serving/include/serving/order_lease.h
@@ -12,7 +12,8 @@
 struct order_lease_settings {
     /// Validity of one claim. An order takes a few milliseconds, and one claim covers all orders that are due together.
     duration length = std::chrono::seconds(3);
-    /// Minimum time between orders of two nodes, as required by the platform.
+    /// Minimum time that the platform requires between orders issued by two different nodes. The lease keeps it between
+    /// any two nodes, whichever engines they address.
     duration orderSpacing = std::chrono::seconds(3);
     /// Allowance for clock drift between two VMs during the lease and for orders in transit.
     duration margin = std::chrono::milliseconds(700);
--- a/libs/serving/include/serving/peer_clock.h
+++ b/libs/serving/include/serving/peer_clock.h
@@ -7,8 +7,9 @@
 
 namespace tamarack::serving {
 
-/// Estimates the clock offset as the minimum of arrival time minus send time, which is the sample with the least delay.
-/// A message delayed at a frozen node therefore converts to its true age.
+/// Estimates the clock offset as the minimum of arrival time minus send time, taken from the message with the least
+/// delay. A message that a frozen sender delays gives a larger difference, which does not change the minimum. Its send
+/// time is converted with the offset of faster messages, so the delay counts as part of its age.
 class peer_clock {
 public:
     /// Records a message: `sentAt` by the peer's clock, `arrivedAt` by the local one.
--- a/libs/serving/include/serving/placement.h
+++ b/libs/serving/include/serving/placement.h
@@ -55,7 +55,7 @@
     void setKnownNodes(int nodes) { m_knownNodes = nodes < 1 ? 1 : nodes; }
     /// Chooses the first target of a request, or the next one after a failure.
     target_choice chooseFirst(const placement_query& query, instant now);
-    /// Chooses the engine that decodes the answer of a prompt that `source` has prefilled.
+    /// Chooses the engine that decodes the answer to a prompt that `source` has prefilled.
     target_choice chooseDecode(const placement_query& query, target_id source, instant now);
     /// Whether the service has any listed targets.
     bool hasTargets(const std::string& service) const { return !m_inputs.fleet.rowsOf(service).empty(); }
--- a/libs/serving/include/serving/prefill_queues.h
+++ b/libs/serving/include/serving/prefill_queues.h
@@ -79,7 +79,7 @@
     int m_knownNodes = 1; // this one included
     std::vector<engine_queue> m_queues; // by row of the fleet
     std::vector<local_job> m_localJobs;
-    std::unordered_map<std::uint32_t, std::vector<peer_job>> m_byPeer; // reported and not known to have ended
+    std::unordered_map<std::uint32_t, std::vector<peer_job>> m_byPeer; // prompts not known to have ended
 };
 
 /// The rank of a prompt that can still meet its aim, by its work in tokens.
--- a/libs/serving/include/serving/target_record.h
+++ b/libs/serving/include/serving/target_record.h
@@ -23,7 +23,7 @@
 }
 
 struct target_record {
-    std::string name; ///< name under which it is listed and called; it may restart under the same name
+    std::string name; ///< name under which the target is listed and called; a restarted target may keep it
     /// Start of this incarnation in milliseconds since 1970 by its own clock. 0 if not reported.
     std::uint64_t bornAt = 0;
     std::string service;
--- a/libs/serving/src/dispatcher.cpp
+++ b/libs/serving/src/dispatcher.cpp
@@ -12,12 +12,14 @@
 
     /// After a longer wait, a request would miss its aim because of the time that the target itself needs.
     constexpr double holdShareOfAim = 0.5;
-    /// An attempt is stopped if the target is silent for this many times the predicted time, plus a slack and the aim.
-    /// Engines at full load take this long for a step of work that was not predicted.
+    /// An attempt at an engine is stopped if the engine is silent for longer than the sum of the predicted time
+    /// multiplied by this factor, stallSlack and the latency target of the route (`aim`). A fully loaded engine can be
+    /// silent for that long while it executes a step that the prediction did not include.
     constexpr double stallFactor = 3;
     constexpr duration stallSlack = 200ms;
-    /// Maximum gap between two stream events. Callers disconnect after two seconds, or after eight times the gap that
-    /// counts as smooth.
+    /// An attempt is also stopped if its stream has no event for the larger of maxStreamPause and streamPauseFactor
+    /// times the latency target for gaps between events (`gapAim`). Callers disconnect after a gap of two seconds, or
+    /// of eight times `gapAim`.
     constexpr duration maxStreamPause = 1s;
     constexpr int streamPauseFactor = 4;
     /// A plain target answers within about 20 ms, and within 75 ms in one of a hundred cases.
@@ -148,8 +150,8 @@
     return now >= times.arrivedAt + fromSeconds(holdShareOfAim * seconds(aim));
 }
 
-// Random delay after which a slot should be free. The spread prevents requests that were refused together from
-// returning together.
+// Random retry delay after which a slot is expected to be free. The random part prevents requests that were refused at
+// the same time from returning at the same time.
 duration dispatcher::retryDelay(std::size_t, instant)
 {
     return minRetryDelay + fromSeconds(seconds(retryDelaySpread) * m_random.unit());
--- a/libs/serving/src/placement.cpp
+++ b/libs/serving/src/placement.cpp
@@ -232,8 +232,9 @@
         const auto& text = *query.request.text;
         const auto reusable = m_inputs.caches.reusableTokens(id, text);
         const auto holder = bestHolderFor(id);
-        // The source is also named if the engine should have the prefix cached: its cache events arrive late, and parts
-        // that were evicted meanwhile are fetched instead of prefilled again.
+        // The engine to fetch from is also named if the chosen engine is believed to have the same prefix cached. Cache
+        // events of the chosen engine arrive late, so it may have evicted parts of the prefix already. It then fetches
+        // these parts instead of prefilling them again.
         if (holder.tokens > 0 && holder.tokens >= reusable)
             choice.fetchFrom = holder.engine;
         choice.isFetching = holder.tokens > reusable;
@@ -263,7 +264,8 @@
     return m_profile ? serving::transferSeconds(*m_profile, tokens, zone[from.value] == zone[to.value]) : 0;
 }
 
-// The decoding engine is chosen after the prefill, so any of them stands for it here.
+// The engine that decodes is chosen only after the prefill, so the import overhead of any engine that decodes is used
+// as an estimate.
 double placement::handoverSeconds(target_id prefillEngine, const placement_query& query) const
 {
     const auto tokens = query.request.text ? query.request.text->inputTokens : 0;
--- a/libs/serving/src/target_follower.cpp
+++ b/libs/serving/src/target_follower.cpp
@@ -66,8 +66,10 @@
         else
             append(changes, m_list.confirmedGone(update.name, now));
     }
-    // A removal found by its absence gets an offset. Without one, peers consider the removal older than their state and
-    // keep sending to a target that has left. The list was read up to `next` and had no entry.
+    // A known target that is missing from the list counts as removed, and its removal needs an offset. Without one,
+    // peers consider the removal older than their state and keep sending to a target that has left. The list was read
+    // up to, but not including, `next`. The removal therefore gets the last offset that was read, unless the known
+    // update is newer.
     for (const auto& [name, update] : m_known) {
         if (!present.contains(name))
             present[name] = { std::max(update.offset, next - 1), name, std::nullopt };
--- a/libs/serving/src/target_health.cpp
+++ b/libs/serving/src/target_health.cpp
@@ -11,7 +11,7 @@
 
     using namespace std::chrono_literals;
 
-    /// A single failure happens to healthy targets too; from the second in a row on, the target is blocked.
+    /// A single failure also happens at healthy targets. A target is blocked from its second consecutive failure on.
     constexpr int failuresUntilBlocked = 2;
     constexpr duration initialBlock = 250ms;
     /// The record of a crashed target stays listed for some heartbeat intervals, so longer blocks gain nothing.
