--- a/libs/serving/src/dispatch_outcomes.cpp
+++ b/libs/serving/src/dispatch_outcomes.cpp
@@ -102,8 +102,8 @@
     switch (result) {
     case attempt_result::unreached:
         m_health.recordFailure(attempt.target, now);
-        // The attempt never reached the target. A prompt that was to be prefilled separately still may be: prefilling
-        // it at an engine that decodes would interrupt about twenty streams.
+        // The attempt never reached the target. If it was the first prefill of a prompt, the prompt may still be
+        // prefilled separately, because prefilling it at an engine that decodes would interrupt about twenty streams.
         if (couldRun) {
             --progress.sends;
             --progress.arrivals;
--- a/libs/serving/src/duty_assignment.cpp
+++ b/libs/serving/src/duty_assignment.cpp
@@ -46,7 +46,7 @@
     std::copy_if(alive.begin(), alive.end(), std::back_inserter(candidates), [&](const node_state& node) {
         return node.availabilityZone == self.availabilityZone && node.vm != self.vm && !node.isStopping;
     });
-    // If no node reaches the store, one keeps trying for the others.
+    // If no node of the availability zone reaches the store, one of them keeps trying for the others.
     const bool isAway = !mayReachStore(self) && std::none_of(candidates.begin(), candidates.end(), mayReachStore);
     if (!isAway) {
         if (!mayReachStore(self))
--- a/libs/serving/src/peer_load.cpp
+++ b/libs/serving/src/peer_load.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-    /// The time-to-live of a peer's entries is at least half a second, so this interval is short enough.
+    /// This interval is short enough, because the time-to-live of a peer's entries is at least half a second.
     constexpr duration refreshInterval = std::chrono::milliseconds(100);
 
 }
--- a/libs/serving/src/placement.cpp
+++ b/libs/serving/src/placement.cpp
@@ -25,8 +25,8 @@
     /// copies. In simulations of 12 days two fleets earned 0.686 and 0.632 of their requests' value at 0.02, 0.697 and
     /// 0.639 at 0.15, and 0.699 and 0.643 at 0.4.
     constexpr double fetchPenaltySeconds = 0.25;
-    /// The same for an answer that is decoded at an engine without any of its prompt cached, because the import takes
-    /// as much memory. In simulations one fleet earned 0.8927 of its requests' value at 0.06 and 0.8952 at 0.12; the
+    /// The cost of decoding an answer at an engine that has none of the prompt cached, because the import takes as much
+    /// memory as a fetch. In simulations one fleet earned 0.8927 of its requests' value at 0.06 and 0.8952 at 0.12; the
     /// other fleets differed by at most 0.002.
     constexpr double importPenaltySeconds = 0.12;
     /// Above this share of an engine's slots, all of them may be taken before the nodes have exchanged their loads. The
--- a/libs/serving/src/target_health.cpp
+++ b/libs/serving/src/target_health.cpp
@@ -32,7 +32,7 @@
     constexpr double rejectionWeight = 0.3;
     /// Peers in other availability zones may see a target differently, so this node's own attempts count for more.
     constexpr double peerWeight = 0.5;
-    /// A target with less than this counts as healthy, and peers get no report of it.
+    /// A target whose weighted failures are below this counts as healthy and is not reported to peers.
     constexpr double minReportedFailures = 0.3;
     constexpr double tenths = 10;
 
