--- a/libs/serving/src/placement.cpp
+++ b/libs/serving/src/placement.cpp
@@ -50,8 +50,9 @@
     /// The number of requests for each slot that an engine may hold. It queues them by urgency, so queued ones do not
     /// delay urgent ones.
     constexpr int requestsPerEngineSlot = 2;
-    /// The same at a plain target. With fewer, calls are held or refused while the target has free slots, because most
-    /// of the calls that peers report are over; and all that were held are sent at once with the next heartbeats.
+    /// The number of requests for each slot that a plain target may hold. With fewer, calls are held or refused while
+    /// the target has free slots, because most of the calls that peers report are over. All calls that were held are
+    /// then sent at once with the next heartbeats.
     constexpr int requestsPerPlainSlot = 3;
     /// The cost of a late answer; it makes a fast answer at any target better than a late one.
     constexpr double latePenaltySeconds = 10;
@@ -189,8 +190,8 @@
         return 0;
     if (m_pauses.excessSeconds(id, 0, *m_profile, now) <= 0)
         return latePenaltySeconds * pauseShare * streams;
-    // The present streams pause already; the ones that start during this prefill are affected besides, and the
-    // request's own.
+    // The present streams pause already. Only the streams that start during this prefill are affected in addition, and
+    // the request's own stream.
     const double length = m_inputs.queues.prefillSeconds(id, work, now);
     const double affected = pauseShare * streams * std::min(1.0, length / typicalStreamSeconds);
     return latePenaltySeconds * (ownPauseShare + affected);
--- a/libs/serving/src/role_split.cpp
+++ b/libs/serving/src/role_split.cpp
@@ -33,7 +33,7 @@
     /// Under load prefill engines are added only if long prompts wait for them at least this long, which is the time of
     /// one full prefill step.
     constexpr double minPrefillWaitSeconds = 0.02;
-    /// The share of the engines; a smaller shortage is not worth a change under load.
+    /// The minimum shortage, as a share of the engines, that is worth a change under load.
     constexpr double busyTolerance = 0.05;
     /// The share of the engines by which the prefill engines may exceed the wanted number before one is changed back.
     /// In a fleet of 8 one engine is a quarter of the decode engines: with only 3 of 8 left to decode, long answers
