--- a/libs/serving/include/serving/engine_queue.h
+++ b/libs/serving/include/serving/engine_queue.h
@@ -1,5 +1,5 @@
-// Models the prompts that wait or are prefilled at one engine, as far as this node knows: its own requests and those
-// that its peers report.
+// Models the prompts that wait or are prefilled at one engine, as far as this node knows them: its own prompts and
+// those that its peers report.
 #pragma once
 
 #include "base/clock.h"
--- a/libs/serving/include/serving/placement.h
+++ b/libs/serving/include/serving/placement.h
@@ -67,7 +67,7 @@
         std::int64_t tokens = 0;
     };
 
-    /// The targets that accept new requests now; the one to avoid only if there is no other.
+    /// The targets that accept new requests now. Contains the target to avoid only if there is no other.
     const std::vector<std::uint32_t>& candidates(const placement_query& query, instant now);
     /// Whether the target's role fits its service: engines for a service of engines, plain targets for others.
     bool matchesServiceKind(std::uint32_t row) const;
