--- a/libs/serving/include/serving/placement.h
+++ b/libs/serving/include/serving/placement.h
@@ -55,7 +55,7 @@
     void setKnownNodes(int nodes) { m_knownNodes = nodes < 1 ? 1 : nodes; }
     /// Chooses the first target of a request, or the next one after a failure.
     target_choice chooseFirst(const placement_query& query, instant now);
-    /// Chooses the engine that decodes the answer of a prompt that `source` has prefilled.
+    /// Chooses the engine that decodes the answer to a prompt that `source` has prefilled.
     target_choice chooseDecode(const placement_query& query, target_id source, instant now);
     /// Whether the service has any listed targets.
     bool hasTargets(const std::string& service) const { return !m_inputs.fleet.rowsOf(service).empty(); }
@@ -67,7 +67,7 @@
         std::int64_t tokens = 0;
     };
 
-    /// The targets that accept new requests now; the one to avoid only if there is no other.
+    /// The targets that accept new requests now. Contains the target to avoid only if there is no other.
     const std::vector<std::uint32_t>& candidates(const placement_query& query, instant now);
     /// Whether the target's role fits its service: engines for a service of engines, plain targets for others.
     bool matchesServiceKind(std::uint32_t row) const;
--- a/libs/serving/src/placement.cpp
+++ b/libs/serving/src/placement.cpp
@@ -25,8 +25,8 @@
     /// copies. In simulations of 12 days two fleets earned 0.686 and 0.632 of their requests' value at 0.02, 0.697 and
     /// 0.639 at 0.15, and 0.699 and 0.643 at 0.4.
     constexpr double fetchPenaltySeconds = 0.25;
-    /// The same for an answer that is decoded at an engine without any of its prompt cached, because the import takes
-    /// as much memory. In simulations one fleet earned 0.8927 of its requests' value at 0.06 and 0.8952 at 0.12; the
+    /// The cost of decoding an answer at an engine that has none of the prompt cached, because the import takes as much
+    /// memory as a fetch. In simulations one fleet earned 0.8927 of its requests' value at 0.06 and 0.8952 at 0.12; the
     /// other fleets differed by at most 0.002.
     constexpr double importPenaltySeconds = 0.12;
     /// Above this share of an engine's slots, all of them may be taken before the nodes have exchanged their loads. The
@@ -50,8 +50,9 @@
     /// The number of requests for each slot that an engine may hold. It queues them by urgency, so queued ones do not
     /// delay urgent ones.
     constexpr int requestsPerEngineSlot = 2;
-    /// The same at a plain target. With fewer, calls are held or refused while the target has free slots, because most
-    /// of the calls that peers report are over; and all that were held are sent at once with the next heartbeats.
+    /// The number of requests for each slot that a plain target may hold. With fewer, calls are held or refused while
+    /// the target has free slots, because most of the calls that peers report are over. All calls that were held are
+    /// then sent at once with the next heartbeats.
     constexpr int requestsPerPlainSlot = 3;
     /// The cost of a late answer; it makes a fast answer at any target better than a late one.
     constexpr double latePenaltySeconds = 10;
@@ -189,8 +190,8 @@
         return 0;
     if (m_pauses.excessSeconds(id, 0, *m_profile, now) <= 0)
         return latePenaltySeconds * pauseShare * streams;
-    // The present streams pause already; the ones that start during this prefill are affected besides, and the
-    // request's own.
+    // The present streams pause already. Only the streams that start during this prefill are affected in addition, and
+    // the request's own stream.
     const double length = m_inputs.queues.prefillSeconds(id, work, now);
     const double affected = pauseShare * streams * std::min(1.0, length / typicalStreamSeconds);
     return latePenaltySeconds * (ownPauseShare + affected);
@@ -232,8 +233,9 @@
         const auto& text = *query.request.text;
         const auto reusable = m_inputs.caches.reusableTokens(id, text);
         const auto holder = bestHolderFor(id);
-        // The source is also named if the engine should have the prefix cached: its cache events arrive late, and parts
-        // that were evicted meanwhile are fetched instead of prefilled again.
+        // The engine to fetch from is also named if the chosen engine is believed to have the same prefix cached. Cache
+        // events of the chosen engine arrive late, so it may have evicted parts of the prefix already. It then fetches
+        // these parts instead of prefilling them again.
         if (holder.tokens > 0 && holder.tokens >= reusable)
             choice.fetchFrom = holder.engine;
         choice.isFetching = holder.tokens > reusable;
@@ -263,7 +265,8 @@
     return m_profile ? serving::transferSeconds(*m_profile, tokens, zone[from.value] == zone[to.value]) : 0;
 }
 
-// The decoding engine is chosen after the prefill, so any of them stands for it here.
+// The engine that decodes is chosen only after the prefill, so the import overhead of any engine that decodes is used
+// as an estimate.
 double placement::handoverSeconds(target_id prefillEngine, const placement_query& query) const
 {
     const auto tokens = query.request.text ? query.request.text->inputTokens : 0;
--- a/libs/serving/src/target_health.cpp
+++ b/libs/serving/src/target_health.cpp
@@ -11,7 +11,7 @@
 
     using namespace std::chrono_literals;
 
-    /// A single failure happens to healthy targets too; from the second in a row on, the target is blocked.
+    /// A single failure also happens at healthy targets. A target is blocked from its second consecutive failure on.
     constexpr int failuresUntilBlocked = 2;
     constexpr duration initialBlock = 250ms;
     /// The record of a crashed target stays listed for some heartbeat intervals, so longer blocks gain nothing.
@@ -32,7 +32,7 @@
     constexpr double rejectionWeight = 0.3;
     /// Peers in other availability zones may see a target differently, so this node's own attempts count for more.
     constexpr double peerWeight = 0.5;
-    /// A target with less than this counts as healthy, and peers get no report of it.
+    /// A target whose weighted failures are below this counts as healthy and is not reported to peers.
     constexpr double minReportedFailures = 0.3;
     constexpr double tenths = 10;
 
