--- a/libs/decide/include/decide/log_follower.h
+++ b/libs/decide/include/decide/log_follower.h
@@ -53,7 +53,8 @@
     record_handler m_onRecord;
     replicated_state m_state;
     bool m_isAwaitingSnapshot = false;
-    std::vector<decoded_page::item> m_buffer; // records read while waiting for a snapshot, from the oldest retained one
+    std::vector<decoded_page::item> m_buffer; // records read while waiting for a snapshot; the first is the oldest that
+                                              // the log retained when the gap was found
     log_offset m_nextBufferedOffset;
     bool m_reachedEnd = false;
     std::uint64_t m_undecodable = 0;
--- a/libs/decide/include/decide/records.h
+++ b/libs/decide/include/decide/records.h
@@ -116,7 +116,7 @@
     bool operator==(const target_orders&) const = default;
 };
 
-/// Replicated state of the configuration in force.
+/// Replicated state of the configuration that is currently in use.
 struct configuration_state {
     std::uint64_t version = 0; ///< 0 if nothing was published yet
     log_offset offset;
--- a/libs/decide/include/decide/replicated_state.h
+++ b/libs/decide/include/decide/replicated_state.h
@@ -27,7 +27,8 @@
 /// verdicts, so changing a rule requires a new record kind.
 class replicated_state {
 public:
-    /// Applies a record; records must come in offset order. A record below next() has no effect.
+    /// Applies a record. The caller must pass records in offset order. A record whose offset is below next() has no
+    /// effect.
     verdict apply(const log_record& record);
     /// Skips a record that does not decode; such a record has no effect on any node.
     void skip(log_offset offset);
--- a/libs/decide/include/decide/target_table.h
+++ b/libs/decide/include/decide/target_table.h
@@ -23,7 +23,8 @@
 /// any more.
 class target_table {
 public:
-    /// Updates the rows to the configuration. A target that keeps its name and address keeps its load and state.
+    /// Adds, updates and removes rows so that they match the targets of the configuration. A target that keeps its name
+    /// and address keeps its load and state.
     void assign(const deployment& config);
 
     std::size_t size() const { return name.size(); }
--- a/libs/decide/src/control_system.cpp
+++ b/libs/decide/src/control_system.cpp
@@ -131,8 +131,8 @@
 {
     if (!m_configuration)
         return;
-    // The rank by rendezvous hashing among the live nodes spreads leases over the nodes, and lets the node that ranks
-    // next claim first when a holder fails.
+    // Ranks the live nodes for each lease by rendezvous hashing. This spreads the leases over the nodes, and when a
+    // holder fails, the node that ranks next claims the lease first.
     const auto alive = m_members.alive(now);
     std::map<std::string, int> ranks;
     for (const auto& service : m_configuration->services) {
--- a/libs/decide/src/lease_system.cpp
+++ b/libs/decide/src/lease_system.cpp
@@ -57,7 +57,8 @@
         return;
     }
     if (sent == item.sentAt.end())
-        return; // sent so long ago that its sending time was discarded, so no expiry can be derived from it
+        return; // this node sent the record so long ago that it has discarded the sending time, from which the expiry
+                // is computed
     item.validUntil = sent->second + m_settings.length;
     item.isConfirmed = true;
     item.nextRenewal = sent->second + m_settings.length / renewalsPerLength;
--- a/libs/decide/src/role_planner.cpp
+++ b/libs/decide/src/role_planner.cpp
@@ -73,7 +73,7 @@
 
 bool role_planner::keepsZoneRedundancy(const std::vector<planned_engine>& engines, const planned_engine& moved) const
 {
-    // After the change, the loss of any one zone must leave at least one engine of the role that is reduced.
+    // After the change, the role that loses an engine must still have at least one engine if any one zone fails.
     std::map<std::string, int> byZone;
     int total = 0;
     for (const auto& engine : engines) {
--- a/libs/decide/src/traffic_system.cpp
+++ b/libs/decide/src/traffic_system.cpp
@@ -250,7 +250,7 @@
     const auto service = m_requests.shape[row].service;
     handleAttemptResult(row, result, now, out);
     if (service.isValid())
-        dispatch(service, now, out); // a slot may have become free
+        dispatch(service, now, out); // a slot may have become free for a waiting request
 }
 
 void traffic_system::handleAttemptResult(std::size_t row, attempt_result result, instant now, traffic_commands& out)
--- a/libs/gateway/src/cache_monitor.cpp
+++ b/libs/gateway/src/cache_monitor.cpp
@@ -110,9 +110,9 @@
     });
 }
 
-// A node that has just started would otherwise take all caches for empty and send prompts to any engine, so that
-// prefixes cached in the fleet are prefilled again. After a restart of all nodes under load this lowered goodput from
-// 0.901 to 0.867 and tripled the number of tokens prefilled again.
+// A node that has just started does not know which prefixes the engines have cached. Without a peer's snapshot it would
+// treat all caches as empty and send prompts to engines that lack their prefixes. After a restart of all nodes under
+// load, three times as many tokens are then prefilled again, and goodput drops.
 void cache_monitor::requestSnapshot(
     const serving::node_state& self, const std::vector<serving::node_state>& alive, instant now)
 {
@@ -253,7 +253,7 @@
     const auto all = response && response->status == 200 ? m_protocol.decodeCacheList(response->body) : std::nullopt;
     m_counters.count("tamarack_cache_lists_total", { { "result", all ? "read" : "failed" } });
     if (!all)
-        return; // later events still report what changes
+        return; // the listing failed; later events still report changes of the cache
     engine.epoch = all->epoch;
     engine.nextEvent = all->next;
     m_decisions.replaceCacheParts(engine.row, all->events);
--- a/libs/gateway/src/cluster_view.cpp
+++ b/libs/gateway/src/cluster_view.cpp
@@ -12,8 +12,8 @@
 
     using namespace std::chrono_literals;
 
-    /// A long poll detects a dead connection only at its end, so its wait stays below the bound within which a version
-    /// must be in force.
+    /// A long poll detects a dead connection only at its end, so its wait stays below the time within which nodes
+    /// must use a new configuration version.
     constexpr double longPollShareOfBound = 0.8;
     /// Pause between two long polls; limits the call rate if the store responds at once.
     constexpr duration configurationPause = 20ms;
@@ -26,7 +26,7 @@
     /// First retry pause of readers.
     constexpr duration readerFirstRetryPause = 150ms;
     /// While the store fails, readers retry at least this often, so that they announce its return within a third of the
-    /// time within which a version must be in force.
+    /// time within which nodes must use a new configuration version.
     constexpr duration readerMaxRetryPause = 600ms;
     /// While the store fails, the other nodes retry at least this often.
     constexpr duration followerRetryPause = 5s;
--- a/libs/gateway/src/cluster_view.h
+++ b/libs/gateway/src/cluster_view.h
@@ -119,7 +119,7 @@
     record_feed::handlers targetHandlers();
     void onConfigurationRecord(const keyed_record& record);
     void onNodeRecord(const keyed_record& record);
-    /// Records that cannot be decoded are logged and excluded from use.
+    /// Decodes the records. A record that cannot be decoded is logged, and its target is not used.
     std::vector<serving::target_update> decodeTargets(const std::vector<keyed_record>& records) const;
     void applyFollowStep(serving::follow_result step);
     /// Fills in the decoded value of the record.
--- a/libs/gateway/src/flow_table.cpp
+++ b/libs/gateway/src/flow_table.cpp
@@ -7,9 +7,10 @@
 
     using namespace std::chrono_literals;
 
-    /// For callers that send no deadline.
+    /// Time limit of a request whose caller sends no deadline.
     constexpr duration defaultTimeLeft = 30s;
-    /// Timeout of a call that releases a KV cache; the engine releases it by itself after some seconds.
+    /// Timeout of a call that releases a KV cache; if the call fails, the engine releases the cache without a call
+    /// after some seconds.
     constexpr duration releaseTimeout = 1s;
 
 }
--- a/libs/gateway/src/gateway.cpp
+++ b/libs/gateway/src/gateway.cpp
@@ -61,9 +61,9 @@
         gateway_settings given, gateway_ports implementations, http_client& connections, std::function<void()> stopped);
 
     std::string start();
-    /// No peer has supplied the state, so the store is read.
+    /// Called when no peer has supplied the state: reads it from the store.
     void startFromStore();
-    /// A peer has supplied the state.
+    /// Called when a peer has supplied the state.
     void startFromPeer();
     void drain();
     void configure(const std::shared_ptr<const serving::serving_configuration>& configuration);
--- a/libs/gateway/src/role_coordinator.cpp
+++ b/libs/gateway/src/role_coordinator.cpp
@@ -15,13 +15,14 @@
     /// Time until every peer is notified and the requests that it sent before have arrived: a datagram takes some 3 ms,
     /// a request written over a narrow link some 20 ms.
     constexpr duration notificationTime = 150ms;
-    /// Time limit of a call to an engine, from connect to response. The connection is reset afterwards, so nothing of
-    /// the call arrives later.
+    /// Time limit of a call to an engine, from connect to response. The connection is reset afterwards, so that no
+    /// bytes of the call reach the engine later.
     constexpr duration callTimeout = 400ms;
-    /// Peers send no requests to an engine for this long after a heartbeat that names it, which tolerates the loss of
-    /// two heartbeats in a large fleet.
+    /// Nodes send no requests to an engine for this long after a heartbeat has listed it as changing its role. In a
+    /// large fleet this is long enough that the engine stays excluded if two successive heartbeats are lost.
     constexpr duration exclusionTime = 2s;
-    /// Interval at which the role split is evaluated; a deviation has to last for 1.5 s anyway.
+    /// Interval at which the role split is evaluated. A shorter one would not help, since roles are changed only after
+    /// the split has deviated from the demand for 1.5 s.
     constexpr duration checkInterval = 250ms;
     /// After this time the engine is used again, whatever its role in the target list.
     constexpr duration changeTimeout = 8s;
@@ -50,8 +51,8 @@
 {
 }
 
-// Any ready node that reaches the store is suitable. The lease excludes two nodes that both consider themselves the
-// coordinator.
+// Any ready node that reaches the store can be the coordinator. If two nodes both consider themselves the coordinator,
+// the lease ensures that only one of them acts.
 bool role_coordinator::isCoordinator(const serving::node_state& self, const std::vector<serving::node_state>& alive)
 {
     if (!self.isReady || self.storeReach != serving::store_reach::reached)
