--- a/libs/decide/include/decide/target_table.h
+++ b/libs/decide/include/decide/target_table.h
@@ -23,8 +23,8 @@
 /// any more.
 class target_table {
 public:
-    /// Adds, updates and removes rows so that they match the targets of the configuration. A target that keeps its name
-    /// and address keeps its load and state.
+    /// Adds and updates rows to match the targets of the configuration, and marks the rows of removed targets. A target
+    /// that keeps its name and address keeps its load and state.
     void assign(const deployment& config);
 
     std::size_t size() const { return name.size(); }
--- a/libs/gateway/src/cluster_view.h
+++ b/libs/gateway/src/cluster_view.h
@@ -73,7 +73,7 @@
     std::int64_t lastTargetChange() const;
     /// Offset of the last change of the target list, whoever has read it.
     std::int64_t targetPosition() const { return m_targets.lastChange(); }
-    /// A peer has a newer configuration version in force than this node.
+    /// Called when a peer uses a newer configuration version than this node.
     void onPeerVersion(std::uint64_t version);
     /// Reads what is missing from the store, since no peer has supplied it.
     void readMissing();
