--- a/libs/gateway/src/cluster_view.h
+++ b/libs/gateway/src/cluster_view.h
@@ -73,7 +73,7 @@
     std::int64_t lastTargetChange() const;
     /// Offset of the last change of the target list, whoever has read it.
     std::int64_t targetPosition() const { return m_targets.lastChange(); }
-    /// A peer has a newer configuration version in force than this node.
+    /// Called when a peer uses a newer configuration version than this node.
     void onPeerVersion(std::uint64_t version);
     /// Reads what is missing from the store, since no peer has supplied it.
     void readMissing();
@@ -119,7 +119,7 @@
     record_feed::handlers targetHandlers();
     void onConfigurationRecord(const keyed_record& record);
     void onNodeRecord(const keyed_record& record);
-    /// Records that cannot be decoded are logged and excluded from use.
+    /// Decodes the records. A record that cannot be decoded is logged, and its target is not used.
     std::vector<serving::target_update> decodeTargets(const std::vector<keyed_record>& records) const;
     void applyFollowStep(serving::follow_result step);
     /// Fills in the decoded value of the record.
