--- a/libs/decide/src/control_system.cpp
+++ b/libs/decide/src/control_system.cpp
@@ -312,15 +312,13 @@
 {
     std::vector<alarm> raised;
     if (!m_ready.isLogReachable(now))
-        raised.push_back({ "log_unreachable", "the platform's log has not responded within the isolation timeout" });
+        raised.push_back({ "log_unreachable", "the platform's log has not answered lately" });
     if (m_follower.hasGap())
-        raised.push_back(
-            { "log_gap", "log records expired before this node read them, and no snapshot covers the gap" });
+        raised.push_back({ "log_gap", "records expired before this node read them, and no snapshot bridges the gap" });
     if (!m_configurationError.empty())
         raised.push_back({ "configuration_invalid", m_configurationError });
     if (m_hasNewerIncarnation)
-        raised.push_back(
-            { "incarnation_too_low", "peers know a newer incarnation of this node; its clock was set back" });
+        raised.push_back({ "incarnation_too_low", "peers know a newer life of this node; its clock was set back" });
     const auto state = m_ready.state(now);
     if (state == readiness_state::behind || state == readiness_state::cut_off)
         raised.push_back({ "not_ready", std::string(toString(state)) });
--- a/libs/node/src/idempotency_handler.cpp
+++ b/libs/node/src/idempotency_handler.cpp
@@ -58,14 +58,14 @@
     if (key.empty() || !home) {
         const nlohmann::json homeMember { { "home", homeHeader() } };
         return refuse(caller, error_kind::home_required,
-            "send Idempotency-Key, and in Tamarack-Home the value returned by the node that you contacted first",
+            "send Idempotency-Key, and in Tamarack-Home the value that the node you first turned to gave you",
             homeMember.dump());
     }
     if (home->instance == m_keys.self())
         return applyDecision(key, m_keys.onRequest(key, *home, boot_clock::now()), caller, run);
     if (home->instance.node == m_keys.self().node) {
         // The home was an earlier incarnation of this node, whose key records were lost when it ended.
-        return refuse(caller, error_kind::outcome_unknown, "the home node of this key has restarted");
+        return refuse(caller, error_kind::outcome_unknown, "the node that was first asked has restarted");
     }
     askHome(key, *home, std::move(caller), std::move(run));
 }
@@ -76,12 +76,12 @@
     const peer_state* peer = m_members.find(home.instance.node);
     const bool hasRestarted = peer && peer->instance.incarnation > home.instance.incarnation;
     if (!peer || peer->peerPort == 0 || hasRestarted)
-        return refuse(caller, error_kind::outcome_unknown, "the home node of this key is gone");
+        return refuse(caller, error_kind::outcome_unknown, "the node that was first asked is gone");
     const peer_request request { peer_question::key, m_keys.self(), key, home };
     m_peers.ask(peer->address, peer->peerPort, request, m_timeout,
         [this, key, caller = std::move(caller), run = std::move(run)](std::optional<peer_reply> reply) {
             if (!reply || !reply->isKnown)
-                return refuse(caller, error_kind::outcome_unknown, "the home node of this key does not answer");
+                return refuse(caller, error_kind::outcome_unknown, "the node that was first asked does not answer");
             if (reply->key.decision == key_decision::run)
                 return applyDecision(key, m_keys.onDelegated(key, boot_clock::now()), caller, run);
             applyDecision(key, reply->key, caller, run);
@@ -108,13 +108,13 @@
         nlohmann::json movedMembers { { "moved_to", toString(answer.movedTo) } };
         if (peer)
             movedMembers["address"] = peer->address + ":" + std::to_string(peer->callerPort);
-        return refuse(caller, error_kind::key_moved, "this key was delegated to another node; send the request there",
-            movedMembers.dump());
+        return refuse(
+            caller, error_kind::key_moved, "this key was given to another node; ask there", movedMembers.dump());
     }
     case key_decision::unknown:
         break;
     }
-    refuse(caller, error_kind::outcome_unknown, "it can no longer be determined whether this request has run");
+    refuse(caller, error_kind::outcome_unknown, "whether this request has run can no longer be told");
 }
 
 void idempotency_handler::onRequestFinished(const std::string& key, const relay::outcome& outcome)
